--- a/benchmarks/capacity/measurements/arithmetic.py
+++ b/benchmarks/capacity/measurements/arithmetic.py
@@ -6,8 +6,13 @@
 
 from benchmarks.capacity.measurements.plan_book import plan_change
 from benchmarks.capacity.results import Measured, Size
-from gorsefork.decisions.rules import CALLS_ALL, CALLS_ALL_LEAST, CALLS_LEAST, CALLS_START
-from gorsefork.plans.spreading import Page
+from gorsefork.decisions.rules import (
+    FLEET_INITIAL_CALLS_PER_S,
+    FLEET_MIN_CALLS_PER_S,
+    INITIAL_CALLS_PER_S,
+    MIN_CALLS_PER_S,
+)
+from gorsefork.plans.change_feed import Page
 
 FEED_WAIT = 10.0  # s that a question of the all-to-all feed stood
 
@@ -42,8 +47,8 @@
     def row(metric: str, value: float, unit: str, note: str) -> Measured:
         return Measured("counter", metric, Size(ingresses), value, unit, seed, f"arithmetic: {note}")
 
-    first = min(CALLS_START, CALLS_ALL / ingresses)
-    least = min(CALLS_LEAST, CALLS_ALL_LEAST / ingresses)
+    first = min(INITIAL_CALLS_PER_S, FLEET_INITIAL_CALLS_PER_S / ingresses)
+    least = min(MIN_CALLS_PER_S, FLEET_MIN_CALLS_PER_S / ingresses)
     return [
         row("calls at the start", first, "1/s", "CALLS_START, CALLS_ALL over all"),
         row("calls at the start by all", first * ingresses, "1/s", "the same"),
--- a/benchmarks/capacity/measurements/decisions.py
+++ b/benchmarks/capacity/measurements/decisions.py
@@ -4,7 +4,7 @@
 
 from benchmarks.capacity.measurements.stopwatch import Stopwatch, allocated
 from benchmarks.capacity.results import Measured, Size
-from gorsefork.decisions import Gatekeeper
+from gorsefork.decisions import DecisionEngine
 from gorsefork.decisions import interface as i
 
 BACKENDS_AN_INGRESS = 5300 / 620
@@ -16,13 +16,11 @@
 
     def __init__(self, backends: int, ingresses: int, seed: int) -> None:
         classes = [i.RequestClass("fetch", aim=1.0, deadline=3.0)]
-        limits = i.Limits(
-            max_attempts=4, cancel=True, second_copies=True, retry_after=True, max_retry_after=2.0
-        )
-        guards = i.Guards(cold_share=0.3, ramp=10.0, fall_multiple=2.5, drain_grace=0.25)
-        given = i.Settings(classes, [i.Plan("open")], 3, ingresses, limits=limits, guards=guards)
-        self.gate, self.now, self.timers = Gatekeeper(given, seed), 100.0, list[tuple[float, str]]()
-        self.entries = [i.ServerEntry(f"s{n}", zone=n % 8, cell=n // 8) for n in range(backends)]
+        limits = i.Limits(max_attempts=4, cancel=True, hedging=True, retry_after=True, max_retry_after=2.0)
+        guards = i.SafetyLimits(cold_share=0.3, ramp=10.0, fall_multiple=2.5, drain_grace=0.25)
+        given = i.Settings(classes, [i.Plan("open")], 3, ingresses, limits=limits, safety_limits=guards)
+        self.gate, self.now, self.timers = DecisionEngine(given, seed), 100.0, list[tuple[float, str]]()
+        self.entries = [i.BackendEntry(f"s{n}", zone=n % 8, cell=n // 8) for n in range(backends)]
 
     def handle(self, clock: Stopwatch, *events: i.Event) -> list[i.Action]:
         with clock.running():
@@ -36,7 +34,7 @@
             due = min(self.timers)
             self.timers.remove(due)
             self.now = max(self.now, due[0])
-            self.handle(clocks["tick" if due[1] == "tick" else "other"], i.Timer(due[1]))
+            self.handle(clocks["tick" if due[1] == "tick" else "other"], i.TimerExpired(due[1]))
         self.now = until
 
 
@@ -48,7 +46,7 @@
 
     def loaded() -> Module:
         module = Module(backends, ingresses, seed)
-        module.handle(Stopwatch(), i.ServerList("full", module.entries))
+        module.handle(Stopwatch(), i.BackendList("full", module.entries))
         return module
 
     memory = allocated(loaded)
@@ -58,17 +56,17 @@
         module.pass_time(module.now + 1.0 / REQUESTS_A_SECOND, clocks)
         name = f"r{number}"
         asked = module.handle(clocks["choice"], i.Request(name, 0, 0, f"c{number}", 3.0))
-        sent = [action for action in asked if isinstance(action, i.Send)]
+        sent = [action for action in asked if isinstance(action, i.StartAttempt)]
         if sent and number % 10 == 9:  # one in ten finds no connection, and is sent again
-            broken = i.Outcome(name, 0, sent[0].server, "connect_failed", 0.001, False)
-            sent = [a for a in module.handle(clocks["again"], broken) if isinstance(a, i.Send)]
+            broken = i.AttemptEnded(name, 0, sent[0].backend, "connect_failed", 0.001, False)
+            sent = [a for a in module.handle(clocks["again"], broken) if isinstance(a, i.StartAttempt)]
         if sent:
             attempt = int(number % 10 == 9)
-            module.handle(clocks["answer"], i.Outcome(name, attempt, sent[0].server, "ok", 0.05, True))
+            module.handle(clocks["answer"], i.AttemptEnded(name, attempt, sent[0].backend, "ok", 0.05, True))
     for _ in range(3):
-        module.handle(clocks["whole list"], i.ServerList("full", list(module.entries)))
-    changed = [i.ServerEntry(f"s{n}", "draining", zone=n % 8) for n in range(0, backends, 9)]
-    module.handle(clocks["change"], i.ServerList("delta", changed))
+        module.handle(clocks["whole list"], i.BackendList("full", list(module.entries)))
+    changed = [i.BackendEntry(f"s{n}", "draining", zone=n % 8) for n in range(0, backends, 9)]
+    module.handle(clocks["change"], i.BackendList("delta", changed))
     return [
         row("memory", memory, "B", "tracemalloc, its list's entries with it"),
         row("choice", clocks["choice"].mean(), "us"),
@@ -89,11 +87,11 @@
         plans = [i.Plan("rated", rate=4.0, burst=24.0)]
         classes = [i.RequestClass("fetch", aim=1.0, deadline=3.0)]
         given = i.Settings(classes, plans, 3, 620, accounting=i.Accounting(counter=True))
-        gate = Gatekeeper(given, seed)
+        gate = DecisionEngine(given, seed)
         for number in range(customers):
             name = f"{number:016x}"
             gate.handle(100.0, [i.Request(name, 0, 0, name, 3.0)])
-            gate.handle(100.0, [i.Gone(name)])
+            gate.handle(100.0, [i.ClientGone(name)])
         return gate
 
     return [row("memory", allocated(seen), "B", "tracemalloc, module and settings with it")]
--- a/benchmarks/capacity/measurements/discovery.py
+++ b/benchmarks/capacity/measurements/discovery.py
@@ -42,7 +42,7 @@
             news = read_list(json.loads(text), Clock())
         registry = Registry(lambda news: None, lambda host: None)
         with applied.running():
-            for _ in pieces.steps(registry.steps(news)):
+            for _ in pieces.steps(registry.apply_in_steps(news)):
                 pass
     return [
         row("bytes of the whole list", len(text), "B"),
--- a/benchmarks/capacity/measurements/plan_book.py
+++ b/benchmarks/capacity/measurements/plan_book.py
@@ -11,9 +11,9 @@
 from benchmarks.capacity.results import Measured, Size
 from gorsefork.configuration.store import RecordStore
 from gorsefork.life.plan_records import PlanRecords
-from gorsefork.plans.book import Book
+from gorsefork.plans.book import PlanBook
+from gorsefork.plans.change_feed import ChangeFeed, Page
 from gorsefork.plans.changes import Change, SetPlan
-from gorsefork.plans.spreading import Arrivals, Page
 
 CHANGES_AT_ONCE = 1_000
 
@@ -30,7 +30,7 @@
     gc.collect()
     before = resident()
     build, one, digest, walk = Stopwatch(), Stopwatch(), Stopwatch(), Stopwatch()
-    book = Book(PlanRecords(RecordStore()))
+    book = PlanBook(PlanRecords(RecordStore()))
     for start in range(0, changes, CHANGES_AT_ONCE):
         made = [plan_change(number) for number in range(start, min(start + CHANGES_AT_ONCE, changes))]
         with build.running():
@@ -57,9 +57,9 @@
     ]
 
 
-def whole_book(book: Book) -> Iterator[Page]:
+def whole_book(book: PlanBook) -> Iterator[Page]:
     """All pages of the feed that a new life of another ingress asks for."""
-    arrivals = Arrivals("life", book)
+    arrivals = ChangeFeed("life", book)
     page = arrivals.page("", 0, book)
     yield page
     while page.life != arrivals.life:
--- a/benchmarks/capacity/measurements/use.py
+++ b/benchmarks/capacity/measurements/use.py
@@ -9,9 +9,9 @@
 from benchmarks.capacity.measurements.stopwatch import UNIX, Stopwatch, allocated
 from benchmarks.capacity.results import Measured, Size
 from gorsefork.storage.database import Database
-from gorsefork.storage.uses import DurableStore
+from gorsefork.storage.uses import DiskUsageStore
 from gorsefork.usage.records import Batch, Use
-from gorsefork.usage.store import VolatileStore
+from gorsefork.usage.store import MemoryUsageStore
 
 
 def measure_use(lines: int, seed: int) -> list[Measured]:
@@ -24,7 +24,7 @@
         )
 
     def stored() -> object:
-        store = VolatileStore("n0", UNIX)
+        store = MemoryUsageStore("n0", UNIX)
         store.append(uses())
         return store
 
@@ -57,7 +57,7 @@
     group = round(REQUESTS_A_SECOND)
     with TemporaryDirectory() as folder:
         database = Database(Path(folder), "n0", "normal")
-        store = DurableStore(database, UNIX)
+        store = DiskUsageStore(database, UNIX)
         store.append(uses(1, waiting))
         for number in range(20):
             some = uses(waiting + 1 + number * group, group)
@@ -69,7 +69,7 @@
         database.close()
         with opening.running():
             database = Database(Path(folder), "n0", "normal")
-            DurableStore(database, UNIX + 1)
+            DiskUsageStore(database, UNIX + 1)
         database.close()
     return [
         row("written, one", append.mean() / group, "us", f"CPU, {group} at a time, sync normal"),
--- a/benchmarks/capacity/measurements/virtual_fleet.py
+++ b/benchmarks/capacity/measurements/virtual_fleet.py
@@ -16,7 +16,7 @@
 from fleet_world import World, halves
 
 from benchmarks.fleet_view import QUIET, grown
-from gorsefork.fleet.membership import SECOND, Pace
+from gorsefork.fleet.membership import SECOND, Timings
 
 DELAY = 0.005  # s, the longest of one datagram
 RACK, ZONE, REGION = 0.05, 1 / 8, 1 / 3  # of the fleet
@@ -113,7 +113,7 @@
 
 
 def all_at_once(members: int, seed: int) -> list[Measured]:
-    world = World(members, seed, Pace(quiet=int(QUIET * SECOND)), 0.0, (0.2 * DELAY, DELAY), seeds=3)
+    world = World(members, seed, Timings(quiet=int(QUIET * SECOND)), 0.0, (0.2 * DELAY, DELAY), seeds=3)
     world.start(*world.places)
     took = world.run_until(world.one_view, LONGEST, 0.5)
     made = row(members, seed)
--- a/benchmarks/cold_sum.py
+++ b/benchmarks/cold_sum.py
@@ -21,7 +21,7 @@
 from multiprocessing import Pool
 from typing import Any
 
-from gorsefork.decisions import Gatekeeper
+from gorsefork.decisions import DecisionEngine
 from gorsefork.decisions import interface as i
 
 WINDOW, RAMP, COLD, MULTIPLE = 1.5, 17.0, 0.31, 2.5
@@ -67,17 +67,17 @@
                 me,
                 self.ingresses,
                 limits=limits,
-                guards=i.Guards(0.016, 0.25, COLD, RAMP, MULTIPLE, WINDOW),
+                safety_limits=i.SafetyLimits(0.016, 0.25, COLD, RAMP, MULTIPLE, WINDOW),
             )
             for me in range(self.ingresses)
         ]
-        self.gates = [Gatekeeper(given, rng.randrange(1 << 30)) for given in settings]
+        self.gates = [DecisionEngine(given, rng.randrange(1 << 30)) for given in settings]
         self.machines: dict[str, Machine] = {}
         self.heap: list[tuple[float, int, str, Any]] = []
         self.order = itertools.count()
         for n in range(count):
             self.add(f"s{n}", -100.0)
-        self.listed = {name: i.ServerEntry(name, cell=n // 4) for n, name in enumerate(self.machines)}
+        self.listed = {name: i.BackendEntry(name, cell=n // 4) for n, name in enumerate(self.machines)}
         self.share, self.lateness = rng.uniform(0.3, 0.65), rng.uniform(0.1, 1.0)
         self.load, self.patience = rng.uniform(0.35, 0.65), rng.choice((1.0, 1.0, 0.3))
         capacity = sum(m.cores for m in self.machines.values())
@@ -105,7 +105,7 @@
         """The worst ratio of any new server, by number and by true work, and the same over the rule; the
         share of the new that were sent anything; what was served of what was asked; what the new served of
         what they could."""
-        full = i.ServerList("full", list(self.listed.values()))
+        full = i.BackendList("full", list(self.listed.values()))
         for gate in self.gates:
             self.do(0.0, gate, [full])
         self.at(0.0, "arrive", None)
@@ -145,15 +145,15 @@
             beyond = max(beyond, total / self.work / (allowed + 2.0 * allowed**0.5 + 2.0))
         return most, beyond
 
-    def do(self, now: float, gate: Gatekeeper, events: list[i.Event]) -> None:
+    def do(self, now: float, gate: DecisionEngine, events: list[i.Event]) -> None:
         for action in gate.handle(100.0 + now, events):
-            if isinstance(action, i.Send):
+            if isinstance(action, i.StartAttempt):
                 self.send(now, gate, action)
             elif isinstance(action, i.SetTimer):
                 self.at(now + max(0.004, action.delay), "timer", (gate, action.token))
-            elif isinstance(action, i.Refuse | i.Fail):
+            elif isinstance(action, i.RejectRequest | i.FailRequest):
                 self.over.add(action.id)
-            elif isinstance(action, i.Cancel):
+            elif isinstance(action, i.CancelAttempt):
                 self.over.add(f"{action.id}/{action.attempt}")
                 self.at(now, "cancelled", (gate, action.id, action.attempt))
 
@@ -167,20 +167,20 @@
         self.open[name] = (me, cls, self.rng.expovariate(1.0 / self.work))
         self.do(now, self.gates[me], [i.Request(name, cls, 0, name, left)])
 
-    def timer(self, now: float, what: tuple[Gatekeeper, str]) -> None:
-        self.do(now, what[0], [i.Timer(what[1])])
+    def timer(self, now: float, what: tuple[DecisionEngine, str]) -> None:
+        self.do(now, what[0], [i.TimerExpired(what[1])])
 
-    def send(self, now: float, gate: Gatekeeper, action: i.Send) -> None:
-        machine, number = self.machines[action.server], self.attempts.get(action.id, 0)
+    def send(self, now: float, gate: DecisionEngine, action: i.StartAttempt) -> None:
+        machine, number = self.machines[action.backend], self.attempts.get(action.id, 0)
         self.attempts[action.id] = number + 1
         work = self.open[action.id][2] * self.rng.uniform(0.8, 1.2)
         machine.sent.append((now, work))
-        job = (gate.settings.me, action.id, number, work)
+        job = (gate.settings.own_index, action.id, number, work)
         if len(machine.queue) >= machine.queue_most:
-            self.at(now + 0.001, "answer", (job, action.server, "full", now))
+            self.at(now + 0.001, "answer", (job, action.backend, "full", now))
         else:
             machine.queue.append(job)
-            self.begin(now, action.server, machine)
+            self.begin(now, action.backend, machine)
 
     def begin(self, now: float, name: str, machine: Machine) -> None:
         while machine.queue and machine.busy < machine.slots:
@@ -205,13 +205,15 @@
             closed = status == "ok" or name in self.over
             if status == "ok":
                 self.over.add(name)
-            self.do(now, self.gates[me], [i.Outcome(name, number, server, status, closed=closed)])
+            self.do(now, self.gates[me], [i.AttemptEnded(name, number, server, status, request_done=closed)])
 
-    def cancelled(self, now: float, what: tuple[Gatekeeper, str, int]) -> None:
+    def cancelled(self, now: float, what: tuple[DecisionEngine, str, int]) -> None:
         gate, name, number = what
-        ticket = gate.tickets.get(name)
-        server = ticket.attempts[number].server.entry.server if ticket else ""
-        self.do(now, gate, [i.Outcome(name, number, server, "cancelled", closed=name in self.over)])
+        ticket = gate.pending.get(name)
+        server = ticket.attempts[number].backend.entry.backend if ticket else ""
+        self.do(
+            now, gate, [i.AttemptEnded(name, number, server, "cancelled", request_done=name in self.over)]
+        )
 
     def replace(self, now: float, _: None) -> None:
         """A share of the servers is replaced over some seconds; each ingress hears of each in its time."""
@@ -222,13 +224,13 @@
     def swap(self, now: float, what: tuple[str, str]) -> None:
         old, new = what
         self.add(new, now)
-        delta = [i.ServerEntry(old, "gone"), i.ServerEntry(new, started=100.0 + now)]
+        delta = [i.BackendEntry(old, "gone"), i.BackendEntry(new, started=100.0 + now)]
         told = now + self.rng.uniform(0.4, 1.5)
         for gate in self.gates:
             self.at(told + self.rng.uniform(0.0, self.lateness), "told", (gate, delta))
 
-    def told(self, now: float, what: tuple[Gatekeeper, list[i.ServerEntry]]) -> None:
-        self.do(now, what[0], [i.ServerList("delta", what[1])])
+    def told(self, now: float, what: tuple[DecisionEngine, list[i.BackendEntry]]) -> None:
+        self.do(now, what[0], [i.BackendList("delta", what[1])])
 
 
 def one(seed: int) -> tuple[int, str, tuple[float, ...]]:
--- a/benchmarks/fleet_trace.py
+++ b/benchmarks/fleet_trace.py
@@ -21,10 +21,10 @@
 import trio
 
 from gorsefork.decisions import interface as i
-from gorsefork.decisions.state import Ticket
+from gorsefork.decisions.state import PendingRequest
 from gorsefork.life import start
 from gorsefork.memory.call import Answer, Call
-from gorsefork.memory.deciding import Decider
+from gorsefork.memory.decision_actor import DecisionActor
 from gorsefork.wire import backends, discovery
 from gorsefork.wire.stream import open_connection
 
@@ -43,21 +43,21 @@
         self.news: dict[str, tuple[str, float]] = {}  # what was last told of a server, and when
         self.bad: dict[str, float] = {}  # since when a server is a suspect here
 
-    def since(self, decider: Decider, name: str) -> None:
+    def since(self, decider: DecisionActor, name: str) -> None:
         """Count a send by what its server was last told to be, or held for, and for how long."""
-        gate, now = decider.gate, decider.gate.now
-        server = gate.fleet.servers.get(name)
+        gate, now = decider.engine, decider.engine.now
+        server = gate.selector.backends.get(name)
         if server is None:
             return
         kind, told = self.news.get(name, ("", 0.0))
-        if kind == "leaving" or (kind == "cold" and gate.fleet.warmth(server, now) < 1.0):
+        if kind == "leaving" or (kind == "cold" and gate.selector.warmth(server, now) < 1.0):
             self.counts[f"since.{kind}.{age_of(now - told)}"] += 1
-        if gate.fleet.suspect(server, now):
+        if gate.selector.is_suspect(server, now):
             self.counts[f"since.bad.{age_of(now - self.bad.get(name, now))}"] += 1
 
     def watch(self, ingress: start.Ingress) -> None:
-        decider = ingress.decider
-        handle = decider.gate.handle
+        decider = ingress.decision_actor
+        handle = decider.engine.handle
 
         def seen(now: float, events: list[i.Event]) -> Any:
             for event in events:
@@ -67,98 +67,100 @@
                 self.action(decider, action)
             return actions
 
-        give_up = decider.gate.give_up
+        give_up = decider.engine.give_up
 
-        def given_up(ticket: Ticket) -> None:
+        def given_up(ticket: PendingRequest) -> None:
             why = (
                 "tried"
                 if ticket.attempts
                 else "lane"
                 if ticket.reserved
                 else "keeper"
-                if ticket.back_in
+                if ticket.room_expected_in
                 else "quota"
             )
             self.counts[f"up.{why}.{ticket.plan.name[:5]}"] += 1
             give_up(ticket)
 
-        decider.gate.give_up = given_up  # type: ignore[method-assign]
-        decider.gate.handle = seen  # type: ignore[method-assign, assignment]
+        decider.engine.give_up = given_up  # type: ignore[method-assign]
+        decider.engine.handle = seen  # type: ignore[method-assign, assignment]
 
-    def event(self, decider: Decider, event: i.Event) -> None:
+    def event(self, decider: DecisionActor, event: i.Event) -> None:
         add = self.counts
         if isinstance(event, i.Request):
             add["arrived"] += 1
             follow(decider.calls.get(event.id))
-        elif isinstance(event, i.Outcome):
-            kinds = self.servers.setdefault(event.server, Counter())
+        elif isinstance(event, i.AttemptEnded):
+            kinds = self.servers.setdefault(event.backend, Counter())
             kinds[event.status] += 1
             kinds[f"{event.status}.ms"] += round(event.latency * 1000)
             add[f"out.{event.status}"] += 1
             if event.status == "ok":
                 add["ok.ms"] += round(event.latency * 1000)
-            if event.status == "ok" and event.closed:
+            if event.status == "ok" and event.request_done:
                 add["served"] += 1
-        elif isinstance(event, i.Counted):
+        elif isinstance(event, i.CounterReply):
             add[f"counted.{event.status}"] += 1
         elif isinstance(event, i.PeerMessage):
             add["heard"] += 1
             add[f"heard.{event.data[:1].decode('latin-1')}"] += 1
-        elif isinstance(event, i.ServerList):
+        elif isinstance(event, i.BackendList):
             for entry in event.entries if event.kind != "cached" else ():
                 kind = "cold" if entry.state == "ready" and entry.started else "leaving"
                 if entry.state != "ready" or entry.started:
-                    self.news[entry.server] = (kind, decider.clock.unix(decider.clock.now))
+                    self.news[entry.backend] = (kind, decider.clock.unix(decider.clock.now))
             add["lists"] += 1
             add["entries"] += len(event.entries)
-        elif isinstance(event, i.Gone):
+        elif isinstance(event, i.ClientGone):
             add["gone"] += 1
 
-    def action(self, decider: Decider, action: i.Action) -> None:
-        add, gate = self.counts, decider.gate
-        if isinstance(action, i.Send):
-            ticket = gate.tickets.get(action.id)
+    def action(self, decider: DecisionActor, action: i.Action) -> None:
+        add, gate = self.counts, decider.engine
+        if isinstance(action, i.StartAttempt):
+            ticket = gate.pending.get(action.id)
             number = len(ticket.attempts) if ticket else 1
             add["sent"] += 1
             add["sent.more"] += number > 1
-            server = gate.fleet.servers.get(action.server)
+            server = gate.selector.backends.get(action.backend)
             if server is not None:
-                add["sent.cold"] += gate.fleet.warmth(server, gate.now) < 1.0
-                add["sent.suspect"] += gate.fleet.suspect(server, gate.now)
-            self.since(decider, action.server)
-        elif isinstance(action, i.Count):
+                add["sent.cold"] += gate.selector.warmth(server, gate.now) < 1.0
+                add["sent.suspect"] += gate.selector.is_suspect(server, gate.now)
+            self.since(decider, action.backend)
+        elif isinstance(action, i.AddToCounter):
             add["count"] += 1
-        elif isinstance(action, i.Tell):
-            add["tell"] += 1 if action.peer is not None else decider.settings.gatekeepers - 1
+        elif isinstance(action, i.SendToPeer):
+            add["tell"] += 1 if action.peer is not None else decider.settings.ingresses - 1
 
     def line(self, ingress: start.Ingress) -> dict[str, Any]:
-        gate, fleet = ingress.decider.gate, ingress.decider.gate.fleet
+        gate, fleet = ingress.decision_actor.engine, ingress.decision_actor.engine.selector
         now = ingress.clock.unix(ingress.clock.now)
-        target = gate.capacity.target
+        target = gate.capacity.target_open
         self.bad = {
-            s.entry.server: self.bad.get(s.entry.server, now) for s in fleet.ready if fleet.suspect(s, now)
+            s.entry.backend: self.bad.get(s.entry.backend, now)
+            for s in fleet.ready
+            if fleet.is_suspect(s, now)
         }
         states = {
-            "open": gate.premium.open + gate.basic.open,
+            "open": gate.premium.open_attempts + gate.basic.open_attempts,
             "target": min(target, 1e6),
-            "chance": gate.premium.chance,
-            "basic": gate.basic.chance,
+            "chance": gate.premium.pass_probability,
+            "basic": gate.basic.pass_probability,
             "ready": len(fleet.ready),
-            "suspects": sum(fleet.suspect(s, now) for s in fleet.ready),
-            "barred": fleet.barred,
+            "suspects": sum(fleet.is_suspect(s, now) for s in fleet.ready),
+            "barred": fleet.connect_failure_rate,
             "cold": sum(fleet.warmth(s, now) < 1.0 for s in fleet.ready),
             "silent": sum(s.silent for s in fleet.ready),
             "strain": gate.capacity.strain,
-            "links": ingress.pool.links,
-            "budget": gate.budget,
-            "misses": gate.quota.misses,
-            "due": len(gate.quota.due),
+            "links": ingress.pool.open_connections,
+            "budget": gate.retry_budget,
+            "misses": gate.quota.failed_calls,
+            "due": len(gate.quota.call_queue),
             "accounts": len(gate.quota.accounts),
-            "carry": fleet.carry,
-            "tickets": len(gate.tickets),
-            "qrate": gate.quota.rate,
-            "pace": fleet.pace,
-            "service": fleet.service[0][0],
+            "carry": fleet.sends_per_backend_s,
+            "tickets": len(gate.pending),
+            "qrate": gate.quota.call_rate,
+            "pace": fleet.median_latency_ratio,
+            "service": fleet.latency_by_class[0][0],
         }
         counts, self.counts = self.counts, Counter()
         dials, self.dials, servers, self.servers = self.dials, {}, self.servers, {}
@@ -186,26 +188,26 @@
     def told(answer: Answer) -> None:
         sends = [
             {
-                "to": d.host,
-                "at": round((d.sent_at - call.came_at) / 1e6, 3),
-                "written": d.written,
+                "to": d.backend,
+                "at": round((d.sent_at - call.arrived_at) / 1e6, 3),
+                "written": d.fully_sent,
                 "ended": d.ended,
             }
-            for d in call.delegations
+            for d in call.attempts
         ]
         print(
             CALL
             + json.dumps(
                 {
-                    "trace": call.trace,
+                    "trace": call.trace_id,
                     "at": round(began, 3),
                     "took": round(time.time() - began, 3),
-                    "left": round((call.ends_at - call.came_at) / 1e6, 3),
-                    "class": call.cls,
-                    "plan": call.plan,
+                    "left": round((call.deadline - call.arrived_at) / 1e6, 3),
+                    "class": call.class_index,
+                    "plan": call.plan_index,
                     "customer": call.customer,
                     "units": call.units,
-                    "retry": call.retry,
+                    "retry": call.is_retry,
                     "answer": type(answer).__name__,
                     "sends": sends,
                 }
@@ -235,9 +237,9 @@
 
 
 def traced_discovery(trace: Trace) -> None:
-    ask = discovery.DiscoveryWatch.ask
+    ask = discovery.DiscoveryClient.call
 
-    async def timed(watch: discovery.DiscoveryWatch, stream: Any, http: Any, target: str) -> Any:
+    async def timed(watch: discovery.DiscoveryClient, stream: Any, http: Any, target: str) -> Any:
         began, result = time.time(), "cut off"
         try:
             raw = await ask(watch, stream, http, target)
@@ -249,7 +251,7 @@
         finally:
             print(f"asked {target} at {began:.3f} for {time.time() - began:.3f} s: {result}", file=sys.stderr)
 
-    discovery.DiscoveryWatch.ask = timed  # type: ignore[method-assign, assignment]
+    discovery.DiscoveryClient.call = timed  # type: ignore[method-assign, assignment]
 
 
 def run() -> None:
--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -33,7 +33,7 @@
 from gorsefork.fleet import bounds
 from gorsefork.fleet.bounds import Tempo
 from gorsefork.fleet.facts import Fact, State
-from gorsefork.fleet.membership import SECOND, Pace
+from gorsefork.fleet.membership import SECOND, Timings
 
 MEMBERS = (3, 5, 12, 40, 100, 250, 500)
 LOSSES = (0.0, 0.1, 0.2, 0.4)
@@ -47,7 +47,7 @@
 
 def grown(members: int, seed: int, loss: float, delay: float, settle: float = 2.0 * QUIET) -> World:
     """A settled fleet, told of each other beforehand: how it came together is measured by the tests."""
-    world = World(members, seed, Pace(quiet=int(QUIET * SECOND)), loss, (0.2 * delay, delay), seeds=3)
+    world = World(members, seed, Timings(quiet=int(QUIET * SECOND)), loss, (0.2 * delay, delay), seeds=3)
     world.start(*world.places)
     facts = [Fact(core.name, UNIX, 0, State.ALIVE, core.fact.card) for core in world.cores()]
     for core in world.cores():
@@ -153,7 +153,7 @@
     from fleet_rig import rigged
 
     period = 200_000
-    pace = Pace(period=period, timeout=60_000, quiet=500_000)
+    pace = Timings(period=period, timeout=60_000, quiet=500_000)
 
     async def real(times: dict[str, list[float]]) -> None:
         with tempfile.TemporaryDirectory() as folder:
--- a/benchmarks/plan_book_size.py
+++ b/benchmarks/plan_book_size.py
@@ -4,7 +4,7 @@
 
 Each size runs in a process of its own: so many customers with a plan, and twice as many later changes for
 them. Written: RSS that the loaded book adds (MB of 10**6 bytes), CPU of loading it from disk, and the median
-CPU of one change made through ``PlanKeeper`` without a disk, of one standing, of the terms of an unknown
+CPU of one change made through ``PlanService`` without a disk, of one standing, of the terms of an unknown
 customer, of a digest; and of one pass over the whole book as it is tidied.
 """
 
@@ -26,12 +26,12 @@
 
 from gorsefork.configuration.store import RecordStore
 from gorsefork.decisions import interface as i
-from gorsefork.life.keeper import NoStorage, PlanKeeper
 from gorsefork.life.plan_records import load_book, record_of
+from gorsefork.life.plan_service import NoStorage, PlanService
 from gorsefork.memory.clock import Clock
 from gorsefork.plans.changes import Change, Reserve, SetPlan
-from gorsefork.plans.contracts import Contracts
-from gorsefork.plans.forgetting import Forgetting
+from gorsefork.plans.contracts import PlanResolver
+from gorsefork.plans.expiry import ExpirySweep
 from gorsefork.storage.database import Database
 from gorsefork.storage.records import DurableRecords
 
@@ -98,22 +98,22 @@
     store = RecordStore()
     book = load_book(DurableRecords(database), store, clock.unix_us())
     loading, held = time.process_time() - began, resident() - before
-    keeper = PlanKeeper(
-        Contracts(PLANS, book), NoStorage(), clock, "n0", "1", lambda names: None, lambda *a, **k: None
+    keeper = PlanService(
+        PlanResolver(PLANS, book), NoStorage(), clock, "n0", "1", lambda names: None, lambda *a, **k: None
     )
 
     async def make(number: int) -> None:
         await keeper.make(SetPlan(customer(number), "large-museum", clock.unix_us()), "ana")
 
     now = clock.unix_us()
-    standing = median_us(lambda n: book.standing(customer(n), now))
-    unknown = median_us(lambda n: keeper.contracts.terms(f"{n:016x}", 0, now))
+    standing = median_us(lambda n: book.effective_plan(customer(n), now))
+    unknown = median_us(lambda n: keeper.contracts.plan_for(f"{n:016x}", 0, now))
     digest = median_us(lambda n: book.digest())
     one_change = trio.run(median_change, make)
     began = time.process_time()
-    forgetting = Forgetting(book, now - 90 * DAY)
+    forgetting = ExpirySweep(book, now - 90 * DAY)
     for place in range(book.log.parts):
-        forgetting.look_at(place)
+        forgetting.examine_part(place)
     forgetting.finish()
     whole = time.process_time() - began
     print(
--- a/benchmarks/plan_change.py
+++ b/benchmarks/plan_change.py
@@ -25,9 +25,9 @@
 
 import numpy as np
 
-from gorsefork.decisions import Gatekeeper
+from gorsefork.decisions import DecisionEngine
 from gorsefork.decisions import interface as i
-from gorsefork.decisions.rules import FLUSH_SHARE, RESERVE
+from gorsefork.decisions.rules import FLUSH_SHARE_OF_SPAN, RESERVED_SHARE_OF_BURST
 
 SMALL = i.Plan("small-gallery", rate=4.0, burst=24.0, over_cost=1.0, ceiling_rate=12.0, ceiling_burst=48.0)
 LARGE = i.Plan("large-museum", rate=16.0, burst=96.0, over_cost=1.0, ceiling_rate=48.0, ceiling_burst=192.0)
@@ -87,11 +87,13 @@
         given = i.Settings(
             [FETCH],
             [SMALL, LARGE],
-            gatekeepers=self.many,
+            ingresses=self.many,
             accounting=i.Accounting(counter=True),
             limits=i.Limits(cancel=True, retry_after=True, max_retry_after=2.0),
         )
-        self.gates = [Gatekeeper(replace(given, me=me), seed * 100 + me) for me in range(self.many)]
+        self.gates = [
+            DecisionEngine(replace(given, own_index=me), seed * 100 + me) for me in range(self.many)
+        ]
         self.totals: dict[str, float] = {}
         self.units: dict[str, float] = {}
         self.true, self.ceiling = Bucket(), Bucket()
@@ -117,21 +119,23 @@
 
     def do(self, me: int, action: i.Action) -> None:
         if isinstance(action, i.SetTimer):
-            self.at(self.now + action.delay, lambda: self.feed(me, i.Timer(action.token)))
-        elif isinstance(action, i.Count):
+            self.at(self.now + action.delay, lambda: self.feed(me, i.TimerExpired(action.token)))
+        elif isinstance(action, i.AddToCounter):
             name, amount = action.name, action.amount
 
             def add() -> None:
                 self.totals[name] = self.totals.get(name, 0.0) + amount
                 total = self.totals[name]
-                self.at(self.now + COUNTER_DELAY / 2, lambda: self.feed(me, i.Counted(name, "ok", total)))
+                self.at(
+                    self.now + COUNTER_DELAY / 2, lambda: self.feed(me, i.CounterReply(name, "ok", total))
+                )
 
             self.at(self.now + COUNTER_DELAY / 2, add)
-        elif isinstance(action, i.Send):
+        elif isinstance(action, i.StartAttempt):
             self.charge(self.units[action.id])
             self.at(
                 self.now + ANSWER_AFTER,
-                lambda: self.feed(me, i.Outcome(action.id, 0, action.server, "ok", ANSWER_AFTER, True)),
+                lambda: self.feed(me, i.AttemptEnded(action.id, 0, action.backend, "ok", ANSWER_AFTER, True)),
             )
 
     def charge(self, units: float) -> None:
@@ -161,7 +165,7 @@
         if CHANGE_AT <= self.now < CHANGE_AT + WINDOW:
             self.asked += units
         known = self.terms(self.now - CHANGE_AT - self.arm.heard[me])
-        self.feed(me, i.Request(name, 0, 0, "museum", 3.0, units, self.many, terms=known))
+        self.feed(me, i.Request(name, 0, 0, "museum", 3.0, units, self.many, plan_override=known))
         gap = float(self.arrivals.exponential(2.0 / self.demand))
         if self.now + gap < END:
             self.at(self.now + gap, self.arrive)
@@ -169,13 +173,13 @@
     def tell(self, me: int) -> None:
         heard = self.arm.heard[me]
         if heard > 0.0 and (account := next(iter(self.gates[me].quota.accounts.values()), None)):
-            self.late_room += account.part * (self.arm.before.burst + self.arm.before.rate * heard)
-        self.feed(me, i.Terms("museum", self.terms(self.now - CHANGE_AT - heard)))
+            self.late_room += account.own_share * (self.arm.before.burst + self.arm.before.rate * heard)
+        self.feed(me, i.PlanOverride("museum", self.terms(self.now - CHANGE_AT - heard)))
 
     def run(self) -> Result:
-        servers = [i.ServerEntry(f"s{n}") for n in range(40)]
+        servers = [i.BackendEntry(f"s{n}") for n in range(40)]
         for me in range(self.many):
-            self.feed(me, i.ServerList("cached", servers))
+            self.feed(me, i.BackendList("cached", servers))
             for change in (0.0, *([self.arm.back_at] if self.arm.back_at else [])):
                 self.at(CHANGE_AT + change + self.arm.heard[me], lambda me=me: self.tell(me))  # type: ignore[misc]
         room: list[float] = []
@@ -201,7 +205,9 @@
 def steady(plan: i.Plan) -> float:
     """What the shared count lets pass with no change at all: at the end of a span, what the others added
     since the last look goes unseen; that is at most all their parts and what fills those until they tell."""
-    return plan.burst * (1.0 - RESERVE) + plan.rate * min(1.0, FLUSH_SHARE * plan.burst / plan.rate)
+    return plan.burst * (1.0 - RESERVED_SHARE_OF_BURST) + plan.rate * min(
+        1.0, FLUSH_SHARE_OF_SPAN * plan.burst / plan.rate
+    )
 
 
 def bound(arm: Arm, result: Result) -> float:
--- a/benchmarks/platform_cost.py
+++ b/benchmarks/platform_cost.py
@@ -52,7 +52,7 @@
                 ("X-Expires-In-Ms", "2500"),
                 ("X-Metering", "units=1,spread=1,first=0"),
             )
-            answer = await http.ask("GET", "/look", within=3.0, headers=headers)
+            answer = await http.request("GET", "/look", within=3.0, headers=headers)
             assert answer.status == 200, answer
         http.close()
 
--- a/benchmarks/recording.py
+++ b/benchmarks/recording.py
@@ -14,7 +14,7 @@
 from typing import Literal
 
 from gorsefork.storage.database import Database
-from gorsefork.storage.uses import DurableStore
+from gorsefork.storage.uses import DiskUsageStore
 from gorsefork.usage.records import Use
 
 SYNCS: tuple[Literal["normal", "full"], ...] = ("normal", "full")
@@ -23,7 +23,7 @@
 def rate(folder: Path, sync: Literal["normal", "full"], group: int, seconds: float) -> tuple[float, float]:
     """Uses a second, and the time that one group takes, in microseconds."""
     database = Database(folder, "n0", sync)
-    store, number, groups = DurableStore(database, 1), 1, 0
+    store, number, groups = DiskUsageStore(database, 1), 1, 0
     began = time.perf_counter()
     while (took := time.perf_counter() - began) < seconds:
         store.append(
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -19,7 +19,7 @@
 import trio
 from accounts_standin import Accounts, Served
 
-from gorsefork.usage.records import MILLION
+from gorsefork.usage.records import MICRO_UNITS_PER_UNIT
 from gorsefork.wire.http1.client import HttpClient, NoAnswer
 
 __all__ = ["Accounts", "Box", "CounterStandIn", "Discovery", "Ingress", "Place"]
@@ -39,7 +39,7 @@
         trace = dict(request.headers)[b"x-trace-id"].decode()
         await trio.sleep(self.rng.uniform(0.001, 0.02))
         micro, _ = self.good[trace] = self.rng.randint(250_000, 3_000_000), time.monotonic()
-        return 200, [("X-Settled", f"{micro / MILLION:.6f}")], trace.encode()
+        return 200, [("X-Settled", f"{micro / MICRO_UNITS_PER_UNIT:.6f}")], trace.encode()
 
 
 class Discovery(Served):
@@ -171,7 +171,7 @@
             while True:
                 client = HttpClient(f"127.0.0.1:{self.port}")
                 try:
-                    if (await client.ask("GET", "/healthz", within=1.0)).status == 200:
+                    if (await client.request("GET", "/healthz", within=1.0)).status == 200:
                         return
                 except NoAnswer:
                     await trio.sleep(0.05)
--- a/benchmarks/usage_kills.py
+++ b/benchmarks/usage_kills.py
@@ -36,7 +36,7 @@
     Ingress,
     Place,
 )
-from gorsefork.usage.records import MILLION
+from gorsefork.usage.records import MICRO_UNITS_PER_UNIT
 from gorsefork.wire.http1.client import HttpClient, NoAnswer
 
 CUT = 0.2  # s
@@ -84,10 +84,10 @@
             if buy:
                 headers.append(("Idempotency-Key", trace))
             # A fresh connection each time the last one broke: ``ask`` would repeat a call by itself.
-            if http.kept is not None and not http.kept[0].quiet():
+            if http.idle_connection is not None and not http.idle_connection[0].is_reusable():
                 http.close()
             try:
-                answer = await http.ask(
+                answer = await http.request(
                     "POST" if buy else "GET", "/buy" if buy else "/look", within=2.5, headers=tuple(headers)
                 )
             except NoAnswer:
@@ -196,7 +196,7 @@
 
 
 def units(counted: Counter[int]) -> float:
-    return sum(micro * times for micro, times in counted.items()) / MILLION
+    return sum(micro * times for micro, times in counted.items()) / MICRO_UNITS_PER_UNIT
 
 
 if __name__ == "__main__":
--- a/benchmarks/version_change.py
+++ b/benchmarks/version_change.py
@@ -93,7 +93,7 @@
             ("X-Metering", "units=1,spread=1,first=0"),
         )
         try:
-            answer = await http.ask("GET", "/look", within=3.0, headers=headers)
+            answer = await http.request("GET", "/look", within=3.0, headers=headers)
             seen.failed += answer.status != 200
             seen.answers.append(trio.current_time())
         except NoAnswer:
--- a/gorsefork/cli/config.py
+++ b/gorsefork/cli/config.py
@@ -11,10 +11,16 @@
 
 import click
 
-from gorsefork.life.config import BadConfig, read_config
-from gorsefork.life.introspection_config import CLAIMS, PATH, BadFile, read, tenants_of
+from gorsefork.life.config import InvalidConfig, read_config
+from gorsefork.life.introspection_config import (
+    DEFAULT_PATH,
+    TENANT_CLAIMS,
+    InvalidIntrospectionFile,
+    make_tenants,
+    read,
+)
 
-FAULTS = (BadFile, BadConfig, OSError, UnicodeDecodeError)
+FAULTS = (InvalidIntrospectionFile, InvalidConfig, OSError, UnicodeDecodeError)
 
 
 class Refused(click.ClickException):
@@ -104,7 +110,7 @@
 @click.option("--timeout-ms", type=int, default=400, show_default=True)
 @click.option("--max-age-ms", type=int, default=250, show_default=True)
 @click.option("--most-in-flight", type=int, default=32, show_default=True)
-@click.option("--tenant-claim", type=click.Choice(CLAIMS), default="client_id", show_default=True)
+@click.option("--tenant-claim", type=click.Choice(TENANT_CLAIMS), default="client_id", show_default=True)
 @click.option("--audience", default="")
 @click.option("--scope", type=Pair(), multiple=True, metavar="CLASS=SCOPE")
 @click.option("--tenant", type=TenantPair(), multiple=True)
@@ -116,7 +122,7 @@
     help="Look tenants up by LDAP: address, bind_dn, password_env or password_file, base, "
     "plan_attribute, customer_attribute, and name_, spread_ or first_attribute.",
 )
-@click.option("--output", type=click.Path(path_type=Path), default=PATH)
+@click.option("--output", type=click.Path(path_type=Path), default=DEFAULT_PATH)
 def write(**given: Any) -> None:
     """Write the file of an application, checked."""
     if bool(given["client_secret_env"]) == bool(given["client_secret_file"]):
@@ -130,7 +136,7 @@
 
 
 @config.command()
-@click.argument("file", type=click.Path(path_type=Path), default=PATH)
+@click.argument("file", type=click.Path(path_type=Path), default=DEFAULT_PATH)
 @click.option("--platform", metavar="CONFIG", help="A platform configuration that it has to fit.")
 @click.option("--no-secret", is_flag=True, help="On a machine that does not hold the secret.")
 def check(file: Path, platform: str | None, no_secret: bool) -> None:
@@ -138,7 +144,7 @@
     try:
         found = read(file.read_text(encoding="utf-8"), os.environ, secrets=not no_secret)
         if found is not None and platform:
-            tenants_of(found, read_config({"PROXY_CONFIG": platform}).settings, click.echo)
+            make_tenants(found, read_config({"PROXY_CONFIG": platform}).settings, click.echo)
     except FAULTS as error:
         raise Refused(str(error)) from None
     click.echo("off" if found is None else f"good: {found.application} on {found.listen}")
@@ -148,15 +154,15 @@
 @click.argument("file", type=click.Path(path_type=Path))
 def operator(file: Path) -> None:
     """Check an operator's file: each fault with its key."""
-    from gorsefork.life.operator import BadOperatorFile, at_start, secret
+    from gorsefork.life.operator import InvalidOperatorFile, load_at_start, read_secret
 
     try:
-        found = at_start(file)
+        found = load_at_start(file)
         if found is not None and found.control is not None:
-            secret("control", found.control.key_file)
+            read_secret("control", found.control.key_file)
         if found is not None and found.usage is not None:
-            secret("usage", found.usage.key_file)
-    except BadOperatorFile as error:
+            read_secret("usage", found.usage.key_file)
+    except InvalidOperatorFile as error:
         raise Refused(str(error)) from None
     parts = [name for name in ("control", "state", "usage") if found and getattr(found, name)]
     click.echo(f"good: {', '.join(parts) or 'all off'}")
--- a/gorsefork/cli/control.py
+++ b/gorsefork/cli/control.py
@@ -16,7 +16,7 @@
 from tabulate import tabulate
 
 from gorsefork.wire.http1.client import HttpClient, NoAnswer
-from gorsefork.wire.stream import address
+from gorsefork.wire.stream import parse_address
 
 SECOND = 1_000_000
 WITHIN = 5.0  # s for one answer
@@ -51,7 +51,7 @@
 
         async def once() -> Any:
             try:
-                return await client.ask(
+                return await client.request(
                     method, target, data, "application/json" if data else "", within, headers
                 )
             finally:
@@ -97,7 +97,7 @@
     def dials(context: click.Context, parameter: click.Parameter, given: Sequence[str]) -> tuple[str, ...]:
         for dial in given:
             try:
-                address(dial)
+                parse_address(dial)
             except ValueError as error:
                 raise click.BadParameter(str(error)) from None
         return tuple(given)
--- a/gorsefork/cli/usage.py
+++ b/gorsefork/cli/usage.py
@@ -7,8 +7,8 @@
 import click
 
 from gorsefork.cli.control import Failed, reaches, show, targets
-from gorsefork.usage.records import MILLION, Form, Unreadable
-from gorsefork.usage.verify import Ledger, split
+from gorsefork.usage.records import MICRO_UNITS_PER_UNIT, Form, UnreadableBatch
+from gorsefork.usage.verify import ReceivedUsage, read_batches
 
 
 @click.group()
@@ -80,12 +80,12 @@
 
     The files hold batches one behind another, as they came. Exit 1 if a number is missing.
     """
-    ledger = Ledger()
+    ledger = ReceivedUsage()
     for path in files:
         try:
-            for batch in split(path.read_bytes()):
+            for batch in read_batches(path.read_bytes()):
                 ledger.take(batch)
-        except (Unreadable, OSError) as error:
+        except (UnreadableBatch, OSError) as error:
             raise Failed(f"{path}: {error}") from None
     lives = ledger.lives()
     show(
@@ -96,7 +96,7 @@
                 life.ingress,
                 life.life,
                 life.records,
-                life.micro / MILLION,
+                life.micro / MICRO_UNITS_PER_UNIT,
                 life.repeats,
                 life.missing,
                 "closed" if life.whole else "open",
--- a/gorsefork/configuration/in_force.py
+++ b/gorsefork/configuration/fleet_statements.py
@@ -9,10 +9,10 @@
 from gorsefork.configuration.messages import Statement
 
 if TYPE_CHECKING:
-    from gorsefork.configuration.intake import Intake
+    from gorsefork.configuration.intake import IntakeFilter
 
 
-def statement(name: str, life: int, intake: Intake, held: list[bool], now: int) -> Statement:
+def statement(name: str, life: int, intake: IntakeFilter, held: list[bool], now: int) -> Statement:
     """What is held here now. ``held``: of each record that was asked about, whether it is."""
     store = intake.store
     stamp, origin = store.newest
--- a/gorsefork/configuration/intake.py
+++ b/gorsefork/configuration/intake.py
@@ -9,8 +9,8 @@
 
 from gorsefork.configuration.messages import MOST_RECENT, Place
 from gorsefork.configuration.records import Record, RecordRefused, Refusal
+from gorsefork.configuration.refused_records import UNOBTAINABLE, WithheldRecords
 from gorsefork.configuration.store import RecordStore, leaf_of
-from gorsefork.configuration.withheld import UNOBTAINABLE, WithheldRecords
 
 SECOND = 1_000_000
 RECENT_FOR = 20 * SECOND  # that a record is named in summaries
@@ -49,7 +49,7 @@
     return Place(leaf_of(record.kind, record.key), record.mark())
 
 
-class Intake:
+class IntakeFilter:
     """``taken`` checks, keeps and puts in force; ``on_refused`` is told of each refused record once, as long
     as ``WithheldRecords`` remembers it."""
 
--- a/gorsefork/configuration/messages.py
+++ b/gorsefork/configuration/messages.py
@@ -16,7 +16,7 @@
 from gorsefork.configuration.records import MARK_BYTES, Record
 from gorsefork.configuration.store import FAN_OUT, LEAVES, LEVELS, MOST_LEAF
 
-MOST_MESSAGE_BYTES = 256 << 10  # one body, of a request or an answer
+MAX_MESSAGE_BYTES = 256 << 10  # one body, of a request or an answer
 MOST_MESSAGES = 512
 MOST_BATCH = 512  # records of one message
 MOST_RECENT = 256  # marks that a summary names
@@ -140,7 +140,7 @@
     """A piece's content: a run of leaves."""
 
     name: Name
-    content: Annotated[bytes, Meta(max_length=MOST_MESSAGE_BYTES)]
+    content: Annotated[bytes, Meta(max_length=MAX_MESSAGE_BYTES)]
 
 
 class PieceUnknown(Message, tag="no-piece", frozen=True, array_like=True):
@@ -243,10 +243,10 @@
 
 
 def encode(messages: Sequence[AnyMessage]) -> bytes:
-    """A body. ``MessageError``: it is beyond ``MOST_MESSAGE_BYTES``."""
+    """A body. ``MessageError``: it is beyond ``MAX_MESSAGE_BYTES``."""
     body = encoder.encode(messages)
-    if len(body) > MOST_MESSAGE_BYTES:
-        raise MessageError(f"a body of {len(body)} bytes is beyond {MOST_MESSAGE_BYTES}")
+    if len(body) > MAX_MESSAGE_BYTES:
+        raise MessageError(f"a body of {len(body)} bytes is beyond {MAX_MESSAGE_BYTES}")
     return body
 
 
@@ -255,8 +255,8 @@
 
     ``MessageError``: it is too long, or a message of a known kind is out of its bounds.
     """
-    if len(body) > MOST_MESSAGE_BYTES:
-        raise MessageError(f"a body of {len(body)} bytes is beyond {MOST_MESSAGE_BYTES}")
+    if len(body) > MAX_MESSAGE_BYTES:
+        raise MessageError(f"a body of {len(body)} bytes is beyond {MAX_MESSAGE_BYTES}")
     try:
         messages: list[AnyMessage] = []
         for packed in body_decoder.decode(body):
--- a/gorsefork/configuration/records.py
+++ b/gorsefork/configuration/records.py
@@ -14,7 +14,7 @@
 from msgspec import Meta
 
 MOST_STAMP = 1 << 53
-MOST_BODY = 4096  # bytes of one record's body
+MAX_BODY_BYTES = 4096  # bytes of one record's body
 MARK_BYTES = 8  # of a record's digest
 
 Kind = Annotated[str, Meta(min_length=1, max_length=16, pattern="^[a-z][a-z-]*$")]
@@ -45,7 +45,7 @@
     stamp: Stamp
     origin: Origin
     author: Annotated[str, Meta(min_length=1, max_length=64)]
-    body: Annotated[bytes, Meta(max_length=MOST_BODY)]
+    body: Annotated[bytes, Meta(max_length=MAX_BODY_BYTES)]
 
     @property
     def about(self) -> RecordKey:
--- a/gorsefork/configuration/replication.py
+++ b/gorsefork/configuration/replication.py
@@ -16,9 +16,8 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from gorsefork.configuration.answering import Answerer
 from gorsefork.configuration.comparison import Comparison, records_at
-from gorsefork.configuration.intake import Intake, OnRefused, Taken, place_of
+from gorsefork.configuration.intake import IntakeFilter, OnRefused, Taken, place_of
 from gorsefork.configuration.messages import (
     MOST_OFFERED,
     AnyMessage,
@@ -35,6 +34,7 @@
 )
 from gorsefork.configuration.peer_set import Peer, PeerSet
 from gorsefork.configuration.records import Record, RecordRefused
+from gorsefork.configuration.responder import Answerer
 from gorsefork.configuration.snapshot import Snapshot
 from gorsefork.configuration.snapshot_download import DownloadState, Drop, SnapshotDownload
 from gorsefork.configuration.store import RecordStore
@@ -53,7 +53,7 @@
 RECORD_OVERHEAD = 64  # bytes beside body and key, about
 
 
-class Tempo(NamedTuple):
+class ReplicationTimings(NamedTuple):
     """How often, and to how many. Times in microseconds."""
 
     fan_out: int = 6  # peers to whom each replica pushes a record that is new to it
@@ -135,7 +135,7 @@
         store: RecordStore,
         taken: Taken,
         rng: random.Random,
-        tempo: Tempo | None = None,
+        tempo: ReplicationTimings | None = None,
         *,
         life: int = 0,
         forget: Callable[[int], None] = do_nothing,
@@ -144,8 +144,8 @@
     ) -> None:
         self.name, self.store = name, store
         self.forget, self.install = forget, install
-        self.rng, self.tempo = rng, tempo or Tempo()
-        self.intake = Intake(store, taken, on_refused)
+        self.rng, self.tempo = rng, tempo or ReplicationTimings()
+        self.intake = IntakeFilter(store, taken, on_refused)
         self.answerer = Answerer(name, life, self.intake, forget, self.learned_by_answering)
         self.peer_set = PeerSet(zone, rng)
         self.figures = ReplicationFigures()
@@ -171,7 +171,7 @@
         """Records that were accepted here; they are in the store by now."""
         self.now = now
         self.intake.note(records, now)
-        self.pass_on(records, "")
+        self.queue_push(records, "")
 
     def requests(self, now: int) -> list[Request]:
         """What is to be sent now: one request at a time to a peer, ``in_flight`` at the most in all."""
@@ -288,9 +288,9 @@
     # Push
 
     def learned_by_answering(self, records: list[Record], source: str) -> None:
-        self.pass_on(records, source)
+        self.queue_push(records, source)
 
-    def pass_on(self, records: Sequence[Record], source: str) -> None:
+    def queue_push(self, records: Sequence[Record], source: str) -> None:
         for record in records:
             if len(self.fresh) >= MOST_FRESH:
                 self.figures.dropped += 1
@@ -399,7 +399,7 @@
         outcome = self.intake.take(records, message.horizon, self.now)
         comparison.learned += len(outcome.new)
         if comparison.learned <= MOST_LEARNED_PUSHED:
-            self.pass_on(outcome.new, peer)
+            self.queue_push(outcome.new, peer)
         return records
 
     def continue_comparison(self, comparison: Comparison) -> None:
@@ -456,4 +456,12 @@
             self.intake.install(download.snapshot.leaves(), self.now)
 
 
-__all__ = ["Peer", "Purpose", "RecordRefused", "ReplicationFigures", "Replicator", "Request", "Tempo"]
+__all__ = [
+    "Peer",
+    "Purpose",
+    "RecordRefused",
+    "ReplicationFigures",
+    "ReplicationTimings",
+    "Replicator",
+    "Request",
+]
--- a/gorsefork/configuration/answering.py
+++ b/gorsefork/configuration/responder.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Sequence
 
 from gorsefork.configuration.comparison import leaf_marks, records_at, root_digests
-from gorsefork.configuration.in_force import statement
-from gorsefork.configuration.intake import Intake
+from gorsefork.configuration.fleet_statements import statement
+from gorsefork.configuration.intake import IntakeFilter
 from gorsefork.configuration.messages import (
     AnyMessage,
     LeavesWanted,
@@ -37,7 +37,7 @@
         self,
         name: str,
         life: int,
-        intake: Intake,
+        intake: IntakeFilter,
         forget: Callable[[int], None],
         learned: Callable[[list[Record], str], None],
     ) -> None:
--- a/gorsefork/decisions/__init__.py
+++ b/gorsefork/decisions/__init__.py
@@ -1,5 +1,5 @@
 """The decisions of a quota-keeping gateway for a shared API."""
 
-from gorsefork.decisions.rules import Gatekeeper
+from gorsefork.decisions.rules import DecisionEngine
 
-__all__ = ["Gatekeeper"]
+__all__ = ["DecisionEngine"]
--- a/gorsefork/decisions/interface.py
+++ b/gorsefork/decisions/interface.py
@@ -1,7 +1,7 @@
 """What gorsefork is told and what it answers: settings, events and actions, in the terms of the field.
 
 All times are seconds (float) on one clock that only advances; servers, requests and customers are named by
-opaque strings. An operator makes one ``rules.Gatekeeper`` for each gateway process, gives it events
+opaque strings. An operator makes one ``rules.DecisionEngine`` for each gateway process, gives it events
 in their order of arrival and carries out the actions it returns, in order.
 """
 
@@ -62,7 +62,7 @@
 
     max_attempts: int = 1
     max_open: int = 20000
-    second_copies: bool = False
+    hedging: bool = False
     cancel: bool = False
     probes: bool = False
     retry_after: bool = False
@@ -72,13 +72,13 @@
     connect_timeout: float = 0.25
     keepalive: float = 15.0
 
-    def longest_retry_after(self) -> float:
+    def retry_after_limit(self) -> float:
         """The longest advice on when to come again, in seconds; 0 where the site permits none."""
         return self.max_retry_after if self.retry_after else 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Guards:
+class SafetyLimits:
     """The figures of the rules."""
 
     answer_slack: float = 0.0
@@ -98,8 +98,8 @@
     counter_price: float = 0.0
     counter_timeout: float = 0.05
     meter_period: float = 0.0
-    settles: bool = False
-    most_units: float = 1.0
+    settles_usage: bool = False
+    max_units: float = 1.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -108,31 +108,31 @@
 
     classes: Sequence[RequestClass]
     plans: Sequence[Plan]
-    me: int = 0
-    gatekeepers: int = 1
+    own_index: int = 0
+    ingresses: int = 1
     zone: int = 0
-    step: float = 0.001
+    time_step: float = 0.001
     subscribe: bool = False
     weights: Literal["off", "nominal", "rough", "live"] = "off"
     cross_zone_price: float = 0.0
     limits: Limits = field(default_factory=Limits)
-    guards: Guards = field(default_factory=Guards)
+    safety_limits: SafetyLimits = field(default_factory=SafetyLimits)
     accounting: Accounting = field(default_factory=Accounting)
 
 
-def check(settings: Settings) -> None:
+def validate_settings(settings: Settings) -> None:
     """Settings that make no sense are refused at once, by name."""
-    limits, guards, accounting = settings.limits, settings.guards, settings.accounting
+    limits, guards, accounting = settings.limits, settings.safety_limits, settings.accounting
     sound = {
         "classes": len(settings.classes) > 0,
-        "gatekeepers": settings.gatekeepers >= 1,
-        "step": settings.step > 0,
+        "gatekeepers": settings.ingresses >= 1,
+        "step": settings.time_step > 0,
         "limits.max_attempts": limits.max_attempts >= 1,
     }
     for part, names in (
         (limits, ("connect_timeout", "keepalive", "max_retry_after")),
         (guards, ("drain_grace", "cold_share", "ramp", "fall_multiple", "fall_window")),
-        (accounting, ("counter_timeout", "most_units")),
+        (accounting, ("counter_timeout", "max_units")),
     ):
         for name in names:
             sound[name] = 0 <= getattr(part, name) < math.inf
@@ -153,10 +153,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServerEntry:
+class BackendEntry:
     """A line of the server list. ``started`` 0 means long ago."""
 
-    server: str
+    backend: str
     state: State = "ready"
     started: float = 0.0
     kind: int = 0
@@ -166,82 +166,84 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServerList:
+class BackendList:
     """News of the servers: the complete list (full, cached), changes to it (delta), or a failed call."""
 
     kind: ListKind
-    entries: Sequence[ServerEntry] = ()
+    entries: Sequence[BackendEntry] = ()
     version: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A client's try. ``left``: how long the client waits; ``spread``: gateways its customer uses."""
+    """A client's try. ``time_left``: how long the client waits; ``ingress_count``: gateways its customer
+    uses."""
 
     id: str
-    cls: int
-    plan: int
+    class_index: int
+    plan_index: int
     customer: str
-    left: float
+    time_left: float
     units: float = 1.0
-    spread: int = 1
-    first: int = 0
-    retry: bool = False
-    write: bool = False
-    terms: Plan | None = None  # what holds for this customer in place of the plan; named like a plan
+    ingress_count: int = 1
+    first_ingress: int = 0
+    is_retry: bool = False
+    is_write: bool = False
+    plan_override: Plan | None = None  # what holds for this customer in place of the plan; named like a plan
 
 
 @dataclass(frozen=True, slots=True)
-class Started:
+class ResponseStarted:
     """The answer of a streamed request has begun."""
 
     id: str
     attempt: int
-    server: str
+    backend: str
     latency: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
-    """How an attempt ended. ``closed``: the request is over; ``used``: 1 + the meter's per cent; 0: none."""
+class AttemptEnded:
+    """How an attempt ended. ``request_done``: the request is over; ``used``: 1 + the meter's per cent; 0:
+    none."""
 
     id: str
     attempt: int
-    server: str
+    backend: str
     status: Status
     latency: float = 0.0
-    closed: bool = False
+    request_done: bool = False
     used: int = 0
-    billed: float = 0.0
+    settled_units: float = 0.0
     load: Mapping[str, float] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
-class Gone:
+class ClientGone:
     """The client has left."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
-class Timer:
+class TimerExpired:
     """A timer set earlier has come due."""
 
     token: str
 
 
 @dataclass(frozen=True, slots=True)
-class Probed:
+class ProbeResult:
     """The result of a probe."""
 
-    server: str
+    backend: str
     status: Status
     latency: float = 0.0
     load: Mapping[str, float] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
-class Counted:
+class CounterReply:
     """The answer to one counter call; calls on one name are answered in their order."""
 
     name: str
@@ -259,18 +261,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
-    """Start an attempt. ``timeout`` 0: until the client gives up. It is not to be begun ``by`` then or later:
+class StartAttempt:
+    """Start an attempt. ``timeout`` 0: until the client gives up. It is not to be begun ``start_before``
+    then or later:
     its connection may take a while, and a repeat beyond its window is no repeat any more."""
 
     id: str
-    server: str
+    backend: str
     timeout: float = 0.0
-    by: float = math.inf
+    start_before: float = math.inf
 
 
 @dataclass(frozen=True, slots=True)
-class Cancel:
+class CancelAttempt:
     """Stop waiting for an attempt."""
 
     id: str
@@ -278,7 +281,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class RejectRequest:
     """Final answer: declined, trying again is harmless."""
 
     id: str
@@ -286,7 +289,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fail:
+class FailRequest:
     """Final answer: failed, nothing is promised."""
 
     id: str
@@ -294,7 +297,8 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a ``Timer`` event after ``delay``. ``request``: once that is over the host may drop it."""
+    """Ask for a ``TimerExpired`` event after ``delay``. ``request``: once that is over the host may drop
+    it."""
 
     token: str
     delay: float
@@ -302,21 +306,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Probe:
+class ProbeBackend:
     """Look at a server."""
 
-    server: str
+    backend: str
 
 
 @dataclass(frozen=True, slots=True)
-class CloseIdle:
+class CloseIdleConnections:
     """Close the idle connections to a server."""
 
-    server: str
+    backend: str
 
 
 @dataclass(frozen=True, slots=True)
-class Count:
+class AddToCounter:
     """Add ``amount`` to a shared count that lapses ``ttl`` after its first call."""
 
     name: str
@@ -325,7 +329,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendToPeer:
     """Send a message to a peer, or to all of them (``None``)."""
 
     peer: int | None
@@ -333,56 +337,69 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Watch:
+class WatchBackends:
     """Subscribe to changes of the server list, or cease to."""
 
-    on: bool
+    enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
-class FetchList:
+class FetchBackendList:
     """Ask for the complete server list once."""
 
 
 @dataclass(frozen=True, slots=True)
-class Log:
+class WriteLog:
     """A line for the operators."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class PlanOverride:
     """From now on a customer has other terms; ``None``: those of the plan that each request names."""
 
     customer: str
-    terms: Plan | None = None
+    plan: Plan | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Suspend:
+class SuspendAdmission:
     """While on, new requests are refused at once: their use could not be accounted for."""
 
-    on: bool
+    enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Closing:
+class ShuttingDown:
     """This gatekeeper stops: what it still holds is to get its answer now."""
 
 
 Event = (
     Request
-    | Started
-    | Outcome
-    | Gone
-    | Timer
-    | Probed
-    | Counted
+    | ResponseStarted
+    | AttemptEnded
+    | ClientGone
+    | TimerExpired
+    | ProbeResult
+    | CounterReply
     | PeerMessage
-    | ServerList
-    | Terms
-    | Suspend
-    | Closing
+    | BackendList
+    | PlanOverride
+    | SuspendAdmission
+    | ShuttingDown
+)
+Action = (
+    StartAttempt
+    | CancelAttempt
+    | RejectRequest
+    | FailRequest
+    | SetTimer
+    | ProbeBackend
+    | CloseIdleConnections
+    | AddToCounter
+    | SendToPeer
+    | WatchBackends
+    | FetchBackendList
+    | WriteLog
 )
-Action = Send | Cancel | Refuse | Fail | SetTimer | Probe | CloseIdle | Count | Tell | Watch | FetchList | Log
--- a/gorsefork/fleet/anti_entropy.py
+++ b/gorsefork/fleet/anti_entropy.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 
 from gorsefork.fleet.dissemination import Dissemination
-from gorsefork.fleet.facts import Fact, Note
+from gorsefork.fleet.facts import Fact, MemberValue
 from gorsefork.fleet.local_node import LocalNode
 from gorsefork.fleet.messages import FAN_OUT, Kind, Range
 from gorsefork.fleet.view import DIGITS, Member
@@ -19,7 +19,7 @@
 
 
 class AntiEntropy:
-    """Bounded by ``Pace.mend`` messages a period; what goes beyond it waits for the next exchange."""
+    """Bounded by ``Timings.mend`` messages a period; what goes beyond it waits for the next exchange."""
 
     def __init__(self, node: LocalNode, dissemination: Dissemination) -> None:
         self.node, self.dissemination = node, dissemination
@@ -79,12 +79,12 @@
     def push(self, prefix: str, members: Iterable[Member], dial: bytes, reply: bool) -> None:
         """Facts and notes, in as many datagrams as they need; an empty range asks as well."""
         facts: list[Fact] = []
-        notes: list[Note] = []
+        notes: list[MemberValue] = []
         range_ = Range(prefix, (), reply)
         room = self.dissemination.room(range_)
         left, sent = room, False
         for member in members:
-            told: list[Fact | Note] = [member.fact, *member.notes.values()]
+            told: list[Fact | MemberValue] = [member.fact, *member.notes.values()]
             for what in told:
                 needs = self.node.codec.size(what) + 1
                 if needs > left and (facts or notes):
@@ -104,7 +104,7 @@
         dial: bytes,
         range_: Range,
         facts: tuple[Fact, ...] = (),
-        notes: tuple[Note, ...] = (),
+        notes: tuple[MemberValue, ...] = (),
     ) -> None:
         """Send, if the budget allows it."""
         if self.credit >= 1.0:
--- a/gorsefork/fleet/dissemination.py
+++ b/gorsefork/fleet/dissemination.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from gorsefork.fleet.bounds import GOSSIP_SHARE, GOSSIP_TO
-from gorsefork.fleet.facts import Fact, Note
-from gorsefork.fleet.local_node import LocalNode, Send
-from gorsefork.fleet.messages import LONGEST, MOST_FACTS, Kind, Message, Range
-from gorsefork.fleet.spread import Spread, times
+from gorsefork.fleet.facts import Fact, MemberValue
+from gorsefork.fleet.gossip_queue import Spread, times
+from gorsefork.fleet.local_node import LocalNode, OutgoingDatagram
+from gorsefork.fleet.messages import MAX_DATAGRAM_BYTES, MOST_FACTS, Kind, Message, Range
 
 OVERHEAD = 17  # bytes of a datagram beyond its packed message: the codec's head, and lists that grow
 
@@ -17,7 +17,7 @@
     def __init__(self, node: LocalNode) -> None:
         self.node = node
         self.news: Spread[Fact] = Spread()
-        self.notes: Spread[Note] = Spread()
+        self.notes: Spread[MemberValue] = Spread()
         self.gossip_at: int | None = None
 
     def spread_fact(self, fact: Fact) -> None:
@@ -29,7 +29,7 @@
         if fact.name not in self.news.pieces:
             self.spread_fact(fact)
 
-    def spread_note(self, note: Note) -> None:
+    def spread_note(self, note: MemberValue) -> None:
         self.notes.add((note.owner, note.kind, note.key), note)
         self.schedule_gossip()
 
@@ -53,7 +53,7 @@
 
     def room(self, range_: Range | None) -> int:
         """Bytes for facts and notes in a ``push`` of this range."""
-        return LONGEST - self.node.codec.size(self.message("push", range_=range_)) - OVERHEAD
+        return MAX_DATAGRAM_BYTES - self.node.codec.size(self.message("push", range_=range_)) - OVERHEAD
 
     def message(
         self,
@@ -63,7 +63,7 @@
         target_life: int = 0,
         dial: bytes = b"",
         facts: tuple[Fact, ...] = (),
-        notes: tuple[Note, ...] = (),
+        notes: tuple[MemberValue, ...] = (),
         range_: Range | None = None,
     ) -> Message:
         node = self.node
@@ -92,7 +92,7 @@
         target_life: int = 0,
         dial: bytes = b"",
         facts: tuple[Fact, ...] = (),
-        notes: tuple[Note, ...] = (),
+        notes: tuple[MemberValue, ...] = (),
         range_: Range | None = None,
         about: str = "",
     ) -> None:
@@ -100,7 +100,7 @@
         node = self.node
         message = self.message(kind, serial, target, target_life, dial, facts, notes, range_)
         if kind != "push":
-            left = LONGEST - OVERHEAD - node.codec.size(message)
+            left = MAX_DATAGRAM_BYTES - OVERHEAD - node.codec.size(message)
             more_facts, more_notes = self.pick(left, (about, target))
             if more_facts or more_notes:
                 known = {fact.name for fact in facts}
@@ -108,13 +108,13 @@
                 notes = (*notes, *more_notes)
                 message = self.message(kind, serial, target, target_life, dial, facts, notes, range_)
         data = node.codec.pack(message)
-        if len(data) > LONGEST:
+        if len(data) > MAX_DATAGRAM_BYTES:
             raise ValueError(f"a {kind} of {len(data)} bytes")
         node.counts.sent += 1
         node.counts.bytes_sent += len(data)
-        node.out.append(Send(to, data))
+        node.out.append(OutgoingDatagram(to, data))
 
-    def pick(self, left: int, first: tuple[str, str]) -> tuple[list[Fact], list[Note]]:
+    def pick(self, left: int, first: tuple[str, str]) -> tuple[list[Fact], list[MemberValue]]:
         """News for ``left`` bytes, that about the members in ``first`` before all other."""
         pace, size = self.node.pace, self.node.codec.size
         most_sent = times(len(self.node.view), pace.repeats)
--- a/gorsefork/fleet/facts.py
+++ b/gorsefork/fleet/facts.py
@@ -19,11 +19,11 @@
 import msgspec
 from msgspec import Meta
 
-MOST_NAME, MOST_ZONE, MOST_KIND, MOST_KEY, MOST_VALUE = 24, 12, 8, 24, 64
+MAX_NAME_LENGTH, MOST_ZONE, MOST_KIND, MOST_KEY, MOST_VALUE = 24, 12, 8, 24, 64
 MOST_INCARNATION = (1 << 31) - 1  # beyond it a life cannot contradict any more and begins anew
 MOST_LIFE = (1 << 62) - 1
 
-Name = Annotated[str, Meta(min_length=1, max_length=MOST_NAME)]
+Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
 Incarnation = Annotated[int, Meta(ge=0, le=MOST_INCARNATION)]
 LifeNumber = Annotated[int, Meta(ge=1, le=MOST_LIFE)]
 Dial = Annotated[bytes, Meta(min_length=6, max_length=18)]  # an address of 4 or 16 bytes and a port
@@ -39,10 +39,10 @@
     ENDED = 4
 
 
-Shown = Literal["joining", "alive", "suspect", "unreachable", "left", "ended"]
+ShownState = Literal["joining", "alive", "suspect", "unreachable", "left", "ended"]
 
 
-class Card(msgspec.Struct, frozen=True, array_like=True, order=True):
+class Contact(msgspec.Struct, frozen=True, array_like=True, order=True):
     """Where a life is found: datagrams, its control listener (maybe none), and its zone."""
 
     dial: Dial
@@ -58,15 +58,15 @@
     life: LifeNumber
     incarnation: Incarnation
     state: Annotated[int, Meta(ge=0, le=4)]
-    card: Card
-    accuser: Annotated[str, Meta(max_length=MOST_NAME)] = ""
+    card: Contact
+    accuser: Annotated[str, Meta(max_length=MAX_NAME_LENGTH)] = ""
 
     @property
     def terminal(self) -> bool:
         return self.state >= State.LEFT
 
     @property
-    def rank(self) -> tuple[int, bool, int, int, Card]:
+    def rank(self) -> tuple[int, bool, int, int, Contact]:
         """What decides between two facts about one name. Of a life that is over the incarnation says
         nothing."""
         return self.life, self.terminal, 0 if self.terminal else self.incarnation, self.state, self.card
@@ -80,12 +80,12 @@
         return blake2s(text.encode(), digest_size=8).digest()
 
 
-def replaced(fact: Fact, state: State, accuser: str = "") -> Fact:
+def with_state(fact: Fact, state: State, accuser: str = "") -> Fact:
     """The same fact but for its state and accuser."""
     return Fact(fact.name, fact.life, fact.incarnation, state, fact.card, accuser)
 
 
-class Note(msgspec.Struct, frozen=True, array_like=True):
+class MemberValue(msgspec.Struct, frozen=True, array_like=True):
     """A small fact of another subsystem, about its owner's life alone. The highest version holds."""
 
     owner: Name
@@ -104,7 +104,7 @@
         return blake2s(text.encode(), digest_size=8).digest()
 
 
-def packed(dial: str) -> bytes:
+def pack_address(dial: str) -> bytes:
     """``ADDRESS:PORT``, IPv6 in brackets, in 6 or 18 bytes. ``ValueError`` for anything else."""
     host, _, port = dial.rpartition(":")
     number = int(port)
@@ -113,13 +113,13 @@
     return ip_address(host.strip("[]")).packed + number.to_bytes(2, "big")
 
 
-def dialled(data: bytes) -> tuple[str, int]:
+def unpack_address(data: bytes) -> tuple[str, int]:
     """The address and port in ``data``. ``ValueError`` where it holds none."""
     return str(ip_address(data[:-2])), int.from_bytes(data[-2:], "big")
 
 
-def shown_dial(data: bytes) -> str:
+def format_address(data: bytes) -> str:
     if not data:
         return ""
-    host, port = dialled(data)
+    host, port = unpack_address(data)
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
--- a/gorsefork/fleet/spread.py
+++ b/gorsefork/fleet/gossip_queue.py
@@ -8,12 +8,12 @@
 from math import ceil, log2
 from typing import Generic, TypeVar
 
-from gorsefork.fleet.facts import Fact, Note, State
+from gorsefork.fleet.facts import Fact, MemberValue, State
 
 REPEATS = 3  # times the logarithm of the fleet that each piece is sent by each that knows it
 MOST_WAITING = 2048  # pieces; the one sent most often gives way
 
-T = TypeVar("T", Fact, Note)
+T = TypeVar("T", Fact, MemberValue)
 
 
 def times(members: int, repeats: int = REPEATS) -> int:
@@ -69,6 +69,6 @@
         return found
 
 
-def urgency(what: Fact | Note) -> int:
+def urgency(what: Fact | MemberValue) -> int:
     """Suspicions and what contradicts them before comings and goings."""
     return 0 if isinstance(what, Fact) and (what.state == State.SUSPECT or what.incarnation) else 1
--- a/gorsefork/fleet/local_node.py
+++ b/gorsefork/fleet/local_node.py
@@ -8,7 +8,7 @@
 
 from gorsefork.fleet.facts import Fact
 from gorsefork.fleet.messages import Codec
-from gorsefork.fleet.pace import Pace
+from gorsefork.fleet.pace import Timings
 from gorsefork.fleet.view import View
 
 DOUBT_MOST = 8  # by how much more a slow prober may stretch its periods
@@ -16,14 +16,14 @@
 HERE = "here"  # who told of an event that this member found by itself
 
 
-class Send(NamedTuple):
+class OutgoingDatagram(NamedTuple):
     """One datagram to be sent. ``dial``: the packed address."""
 
     dial: bytes
     data: bytes
 
 
-class Event(NamedTuple):
+class MemberEvent(NamedTuple):
     """What an operator may want to know. ``by``: who told, or ``here``."""
 
     kind: str
@@ -49,13 +49,15 @@
 class LocalNode:
     """This member itself. ``now`` is on the caller's clock, in microseconds; ``unix`` makes it Unix time."""
 
-    def __init__(self, name: str, codec: Codec, pace: Pace, rng: random.Random, now: int, unix: int) -> None:
+    def __init__(
+        self, name: str, codec: Codec, pace: Timings, rng: random.Random, now: int, unix: int
+    ) -> None:
         self.name, self.codec, self.pace, self.rng = name, codec, pace, rng
         self.unix = unix
         self.began = self.now = now
         self.view = View()
-        self.out: list[Send] = []
-        self.events: list[Event] = []
+        self.out: list[OutgoingDatagram] = []
+        self.events: list[MemberEvent] = []
         self.counts = Counts()
         self.serial = rng.randrange(1 << 25) * MOST_ATTEMPTS
         self.doubt = 0  # Lifeguard's local health: the higher, the slower this member accuses
@@ -90,4 +92,4 @@
         self.doubt = max(0, self.doubt - 1)
 
     def record(self, kind: str, name: str, life: int, by: str, text: str) -> None:
-        self.events.append(Event(kind, name, life, by, text))
+        self.events.append(MemberEvent(kind, name, life, by, text))
--- a/gorsefork/fleet/membership.py
+++ b/gorsefork/fleet/membership.py
@@ -16,12 +16,12 @@
 
 from gorsefork.fleet.anti_entropy import AntiEntropy
 from gorsefork.fleet.dissemination import Dissemination
-from gorsefork.fleet.facts import Card, Fact, State, replaced
-from gorsefork.fleet.local_node import HERE, Counts, Event, LocalNode, Send
+from gorsefork.fleet.facts import Contact, Fact, State, with_state
+from gorsefork.fleet.local_node import HERE, Counts, LocalNode, MemberEvent, OutgoingDatagram
 from gorsefork.fleet.merging import Merger
-from gorsefork.fleet.messages import Codec, Message, Refused
+from gorsefork.fleet.messages import Codec, DatagramRefused, Message
 from gorsefork.fleet.own_life import OwnLife
-from gorsefork.fleet.pace import SECOND, Pace
+from gorsefork.fleet.pace import SECOND, Timings
 from gorsefork.fleet.probe_order import ProbeOrder
 from gorsefork.fleet.probing import Prober
 from gorsefork.fleet.reconnecting import Reconnector
@@ -31,7 +31,7 @@
 from gorsefork.fleet.suspicion import Suspicions
 from gorsefork.fleet.view import Member, Part
 
-__all__ = ["SECOND", "Counts", "Event", "Membership", "Pace", "Send"]
+__all__ = ["SECOND", "Counts", "MemberEvent", "Membership", "OutgoingDatagram", "Timings"]
 
 FOLLOWED_WAKE = 60 * SECOND  # between wakes of a life that another has followed: they do nothing
 LEAVING_WAKES = 10  # a period, each with another goodbye
@@ -45,9 +45,9 @@
         self,
         name: str,
         life: int,
-        card: Card,
+        card: Contact,
         codec: Codec,
-        pace: Pace,
+        pace: Timings,
         rng: random.Random,
         now: int,
         seeds: Iterable[bytes] = (),
@@ -75,11 +75,11 @@
     # What others ask.
 
     @property
-    def events(self) -> list[Event]:
+    def events(self) -> list[MemberEvent]:
         return self.node.events
 
     @events.setter
-    def events(self, events: list[Event]) -> None:
+    def events(self, events: list[MemberEvent]) -> None:
         self.node.events = events
 
     @property
@@ -87,7 +87,7 @@
         return self.node.now
 
     @property
-    def pace(self) -> Pace:
+    def pace(self) -> Timings:
         return self.node.pace
 
     @property
@@ -113,7 +113,7 @@
         """No news for ``quiet``, nobody suspect or joining, and all digests heard since are this view's."""
         return self.settlement.settled()
 
-    def lacking(self) -> list[str]:
+    def reasons_unsettled(self) -> list[str]:
         """What keeps the view from being settled, in words."""
         return self.settlement.lacking()
 
@@ -132,10 +132,10 @@
             return f"no member {name!r} is known here, or its life is over already"
         if member.shown != "unreachable":
             return f"{name} is {member.shown}: only one that is unreachable can be forgotten"
-        self.merger.take(replaced(member.fact, State.ENDED), HERE)
+        self.merger.take(with_state(member.fact, State.ENDED), HERE)
         return ""
 
-    def repace(self, pace: Pace) -> None:
+    def change_timings(self, pace: Timings) -> None:
         self.node.pace = pace
         self.prober.probe_at = min(self.prober.probe_at, self.now + pace.period)
 
@@ -220,7 +220,7 @@
         node.counts.received += 1
         try:
             message = node.codec.read(data)
-        except Refused as refused:
+        except DatagramRefused as refused:
             self.refusals.refuse(source, refused.reason)
             return
         if node.followed or (message.name == node.name and message.life == node.life):
--- a/gorsefork/fleet/merging.py
+++ b/gorsefork/fleet/merging.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from gorsefork.fleet.dissemination import Dissemination
-from gorsefork.fleet.facts import Fact, Note, State, replaced
+from gorsefork.fleet.facts import Fact, MemberValue, State, with_state
 from gorsefork.fleet.local_node import HERE, LocalNode
 from gorsefork.fleet.probe_order import ProbeOrder
 from gorsefork.fleet.settlement import Settlement
@@ -65,7 +65,7 @@
             node.record(member.shown, fact.name, fact.life, by, text)
         return member
 
-    def take_note(self, note: Note) -> bool:
+    def take_note(self, note: MemberValue) -> bool:
         """Whether it was news; then it is spread."""
         if not self.node.view.take_note(note, self.node.now):
             return False
@@ -82,4 +82,4 @@
                 continue
             seen_since = min(age, node.now - self.settlement.part_since)
             if seen_since >= keep and member.lost and self.settlement.may_end():
-                self.take(replaced(member.fact, State.ENDED), HERE)
+                self.take(with_state(member.fact, State.ENDED), HERE)
--- a/gorsefork/fleet/messages.py
+++ b/gorsefork/fleet/messages.py
@@ -14,9 +14,9 @@
 import msgspec
 from msgspec import Meta
 
-from gorsefork.fleet.facts import Dial, Fact, Incarnation, LifeNumber, Name, Note
+from gorsefork.fleet.facts import Dial, Fact, Incarnation, LifeNumber, MemberValue, Name
 
-LONGEST = 256
+MAX_DATAGRAM_BYTES = 256
 VERSION = 1
 HEAD = 13  # bytes before the body
 MOST_FACTS = 16  # in one message
@@ -46,14 +46,14 @@
     digest: Annotated[bytes, Meta(min_length=8, max_length=8)]
     count: Annotated[int, Meta(ge=0, le=65535)]
     facts: Annotated[tuple[Fact, ...], Meta(max_length=MOST_FACTS)] = ()
-    notes: Annotated[tuple[Note, ...], Meta(max_length=16)] = ()
+    notes: Annotated[tuple[MemberValue, ...], Meta(max_length=16)] = ()
     target: Annotated[str, Meta(max_length=24)] = ""
     target_life: Annotated[int, Meta(ge=0, le=(1 << 62) - 1)] = 0
     dial: Annotated[bytes, Meta(max_length=18)] = b""
     range: Range | None = None
 
 
-class Refused(Exception):
+class DatagramRefused(Exception):
     """A datagram that is not taken; ``reason`` says what does not fit."""
 
     def __init__(self, reason: Refusal) -> None:
@@ -79,43 +79,43 @@
     def pack(self, message: Message) -> bytes:
         return self.sealed(self.encoder.encode(message))
 
-    def size(self, part: Fact | Note | Message) -> int:
+    def size(self, part: Fact | MemberValue | Message) -> int:
         return len(self.encoder.encode(part))
 
     def read(self, data: bytes) -> Message:
-        """``Refused`` says why a datagram is not taken."""
-        if not HEAD < len(data) <= LONGEST:
-            raise Refused("size")
+        """``DatagramRefused`` says why a datagram is not taken."""
+        if not HEAD < len(data) <= MAX_DATAGRAM_BYTES:
+            raise DatagramRefused("size")
         if data[1:5] != self.site:
-            raise Refused("site")
+            raise DatagramRefused("site")
         if abs(data[0] - self.version) > 1:
-            raise Refused("version")
+            raise DatagramRefused("version")
         digest = blake2s(data[:5] + data[HEAD:], digest_size=8, key=self.key).digest()
         if not hmac.compare_digest(digest, data[5:HEAD]):
-            raise Refused("key")
+            raise DatagramRefused("key")
         try:
             message = self.decoder.decode(data[HEAD:])
         except (msgspec.DecodeError, UnicodeDecodeError):
-            raise Refused("form") from None
+            raise DatagramRefused("form") from None
         for dial in (*(fact.card.dial for fact in message.facts), message.dial):
             if len(dial) not in (0, 6, 18):
-                raise Refused("form")
+                raise DatagramRefused("form")
         if any(not fact.card.dial or len(fact.card.control) not in (0, 6, 18) for fact in message.facts):
-            raise Refused("form")
+            raise DatagramRefused("form")
         return message
 
 
 __all__ = [
     "FAN_OUT",
     "HEAD",
-    "LONGEST",
+    "MAX_DATAGRAM_BYTES",
     "MOST_FACTS",
     "VERSION",
     "Codec",
+    "DatagramRefused",
     "Dial",
     "Kind",
     "Message",
     "Range",
     "Refusal",
-    "Refused",
 ]
--- a/gorsefork/fleet/own_life.py
+++ b/gorsefork/fleet/own_life.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from gorsefork.fleet.dissemination import Dissemination
-from gorsefork.fleet.facts import MOST_LIFE, Card, Fact, Note, State, replaced
+from gorsefork.fleet.facts import MOST_LIFE, Contact, Fact, MemberValue, State, with_state
 from gorsefork.fleet.local_node import HERE, LocalNode
 from gorsefork.fleet.merging import Merger
 
@@ -18,17 +18,17 @@
 
     def __init__(self, node: LocalNode, dissemination: Dissemination, merger: Merger) -> None:
         self.node, self.dissemination, self.merger = node, dissemination, merger
-        self.notes: dict[tuple[str, str], Note] = {}  # by kind and key
+        self.notes: dict[tuple[str, str], MemberValue] = {}  # by kind and key
         self.bumps = 0
         self.heard_any = False  # some other has answered this process
         self.goodbyes: set[str] = set()  # members that confirmed the goodbye
 
-    def begin(self, life: int, state: State, card: Card) -> None:
+    def begin(self, life: int, state: State, card: Contact) -> None:
         """Go on as this life, with the same notes."""
         name = self.node.name
         self.merger.take(Fact(name, life, 0, state, card), HERE)
         for (kind, key), note in list(self.notes.items()):
-            renewed = Note(name, life, kind, key, note.version + 1, note.value)
+            renewed = MemberValue(name, life, kind, key, note.version + 1, note.value)
             if self.merger.take_note(renewed):
                 self.notes[kind, key] = renewed
 
@@ -54,7 +54,7 @@
         ``False`` where this life has no room for another key."""
         node, old = self.node, self.notes.get((kind, key))
         version = old.version + 1 if old else max(1, node.unix_now())
-        note = Note(node.name, node.life, kind, key, version, value)
+        note = MemberValue(node.name, node.life, kind, key, version, value)
         if not self.merger.take_note(note):
             return False
         self.notes[kind, key] = note
@@ -96,7 +96,7 @@
     def leave(self) -> None:
         """Say goodbye: to some now, and again at each ``say_goodbye`` until ``gone``."""
         self.node.leaving = True
-        self.merger.take(replaced(self.node.fact, State.LEFT), HERE)
+        self.merger.take(with_state(self.node.fact, State.LEFT), HERE)
         self.say_goodbye()
 
     def say_goodbye(self) -> None:
--- a/gorsefork/fleet/pace.py
+++ b/gorsefork/fleet/pace.py
@@ -4,13 +4,13 @@
 
 from dataclasses import dataclass
 
-from gorsefork.fleet.spread import REPEATS
+from gorsefork.fleet.gossip_queue import REPEATS
 
 SECOND = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
+class Timings:
     """Times in microseconds. ``quiet``: without news before a view is settled. ``keep``: how long one that is
     unreachable stays a member. ``mend``: messages of exchanges that may go out in a period."""
 
--- a/gorsefork/fleet/probing.py
+++ b/gorsefork/fleet/probing.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from gorsefork.fleet.dissemination import Dissemination
-from gorsefork.fleet.facts import State, replaced
+from gorsefork.fleet.facts import State, with_state
 from gorsefork.fleet.local_node import DOUBT_MOST, HERE, MOST_ATTEMPTS, LocalNode
 from gorsefork.fleet.merging import Merger
 from gorsefork.fleet.messages import Message
@@ -162,7 +162,7 @@
         if not probe.second:
             self.begin_probe(probe.name, second=True)
         elif member.fact.state != State.SUSPECT:
-            self.merger.take(replaced(member.fact, State.SUSPECT, node.name), HERE)
+            self.merger.take(with_state(member.fact, State.SUSPECT, node.name), HERE)
         else:
             self.suspicions.confirm(member, node.name)
 
--- a/gorsefork/fleet/refusals.py
+++ b/gorsefork/fleet/refusals.py
@@ -4,7 +4,7 @@
 
 from collections import OrderedDict
 
-from gorsefork.fleet.facts import shown_dial
+from gorsefork.fleet.facts import format_address
 from gorsefork.fleet.local_node import HERE, LocalNode
 from gorsefork.fleet.messages import Refusal
 from gorsefork.fleet.pace import SECOND
@@ -29,7 +29,7 @@
     def refuse(self, source: bytes, reason: Refusal) -> None:
         """A datagram from ``source`` was not taken."""
         self.count(reason)
-        now, known = self.node.now, shown_dial(source)
+        now, known = self.node.now, format_address(source)
         if now - self.told_at.get((known, reason), -TOLD_AGAIN) < TOLD_AGAIN:
             return
         self.told_at[known, reason] = now
--- a/gorsefork/fleet/placing.py
+++ b/gorsefork/fleet/rendezvous.py
@@ -11,7 +11,7 @@
 from hashlib import blake2s
 
 
-def order(key: str, names: Iterable[str]) -> list[str]:
+def rendezvous_order(key: str, names: Iterable[str]) -> list[str]:
     """The names, best first. Equal sets give equal orders, however they are ordered themselves."""
     keyed = blake2s(key.encode(), digest_size=16).digest()
 
--- a/gorsefork/fleet/suspicion.py
+++ b/gorsefork/fleet/suspicion.py
@@ -4,7 +4,7 @@
 
 from gorsefork.fleet.bounds import CONFIRMS, suspicion_least, suspicion_most
 from gorsefork.fleet.dissemination import Dissemination
-from gorsefork.fleet.facts import State, replaced
+from gorsefork.fleet.facts import State, with_state
 from gorsefork.fleet.local_node import HERE, LocalNode
 from gorsefork.fleet.pace import SECOND
 from gorsefork.fleet.view import Member, Suspicion
@@ -43,7 +43,7 @@
             return
         if len(suspicion.accusers) <= suspicion.wanted:
             suspicion.accusers.add(accuser)
-            self.dissemination.spread_fact(replaced(member.fact, State.SUSPECT, accuser))
+            self.dissemination.spread_fact(with_state(member.fact, State.SUSPECT, accuser))
 
     def extend(self, gap: int) -> None:
         """Give every suspect the time again in which this process did not run."""
--- a/gorsefork/fleet/view.py
+++ b/gorsefork/fleet/view.py
@@ -9,7 +9,7 @@
 from math import log
 from typing import Literal
 
-from gorsefork.fleet.facts import MOST_INCARNATION, Fact, Note, Shown, State
+from gorsefork.fleet.facts import MOST_INCARNATION, Fact, MemberValue, ShownState, State
 
 MOST_MEMBERS = 1024  # names; beyond that a tombstone gives way; where there is none the new name is dropped
 MOST_NOTES = 16  # of one owner
@@ -49,14 +49,14 @@
     heard_at: int | None = None  # the last datagram of its own
     retry_at: int = 0  # when one that is unreachable is pinged next
     retries: int = 0
-    notes: dict[tuple[str, str], Note] = field(default_factory=dict)
+    notes: dict[tuple[str, str], MemberValue] = field(default_factory=dict)
     mark: int = 0  # what the view's digest holds of it
 
     @property
-    def shown(self) -> Shown:
+    def shown(self) -> ShownState:
         if self.fact.state == State.SUSPECT:
             return "unreachable" if self.lost else "suspect"
-        shown: Shown = ("joining", "alive", "suspect", "left", "ended")[self.fact.state]
+        shown: ShownState = ("joining", "alive", "suspect", "left", "ended")[self.fact.state]
         return shown
 
     def reckoned(self) -> int:
@@ -155,7 +155,7 @@
         del self.members[min(over, key=lambda m: m.since).fact.name]  # one that is over is no suspect
         return True
 
-    def take_note(self, note: Note, now: int) -> bool:
+    def take_note(self, note: MemberValue, now: int) -> bool:
         """Whether it is news: of a life that goes on, newer than what is known, and within the owner's
         bound."""
         member = self.members.get(note.owner)
--- a/gorsefork/lab/scale/hollow.py
+++ b/gorsefork/lab/scale/hollow.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any, Protocol, cast
 
-from gorsefork.fleet.facts import Card, Fact, State, packed
+from gorsefork.fleet.facts import Contact, Fact, State, pack_address
 from gorsefork.lab.scale.experiment import Configuration
 from gorsefork.lab.scale.messages import Arrival, Begin, Place, Standing
 from gorsefork.lab.scale.traffic import CountedClient, CountedSocket, Network, Owner, Traffic, owner
@@ -18,8 +18,8 @@
 from gorsefork.life.operator import Control, Fleet, Operator
 from gorsefork.life.operator import State as StateFolder
 from gorsefork.memory.clock import Clock
-from gorsefork.memory.deciding import Decider
-from gorsefork.plans.changes import Change, Refused, SetPlan
+from gorsefork.memory.decision_actor import DecisionActor
+from gorsefork.plans.changes import Change, ChangeRefused, SetPlan
 from gorsefork.settings import to_settings
 
 PLANS = ("plain", "large")
@@ -52,7 +52,8 @@
         ...
 
     async def load(self, tenants: int) -> None:
-        """Put a plan for each of so many into its book, before it runs. ``Refused`` where they do not fit."""
+        """Put a plan for each of so many into its book, before it runs. ``ChangeRefused`` where they do not
+        fit."""
         ...
 
     async def run(self) -> None:
@@ -60,7 +61,7 @@
         ...
 
     async def change(self, customer: str) -> None:
-        """Make a change that concerns this customer. ``Refused`` if it cannot be taken."""
+        """Make a change that concerns this customer. ``ChangeRefused`` if it cannot be taken."""
         ...
 
     def introduce(self, facts: Sequence[Fact]) -> None:
@@ -79,7 +80,7 @@
     def __init__(self, name: str, clock: Clock) -> None:
         self.name, self.clock = name, clock
         self.heard: list[Arrival] = []
-        self.terms: Any = None
+        self.plan_overrides: Any = None
 
     def terms_changed(self, customers: Iterable[str]) -> None:
         now = self.clock.now
@@ -129,28 +130,28 @@
     def open(self) -> Place:
         # Its own variable says on whose behalf a client is made; tasks inherit it.
         owner.set(Owner(self.zone, self.network, self.traffic))
-        self.installation.attach(cast(Decider, self.decider), lambda: True)
-        link, acceptor = self.installation.link, self.installation.acceptor
+        self.installation.attach(cast(DecisionActor, self.decider), lambda: True)
+        link, acceptor = self.installation.fleet_service, self.installation.acceptor
         assert link is not None
         link.sock = cast(Any, CountedSocket(link.sock, self.zone, self.network, self.traffic))
-        control = port(acceptor.where) if acceptor is not None else 0
-        return Place(self.name, self.zone, port(link.where), control, link.core.life)
+        control = port(acceptor.address) if acceptor is not None else 0
+        return Place(self.name, self.zone, port(link.address), control, link.core.life)
 
     async def load(self, tenants: int) -> None:
         changes = plans_until(self.clock.unix_us(), tenants)
         for at in range(0, tenants, MOST_AT_ONCE):
-            if problem := await self.installation.keeper.learn(changes[at : at + MOST_AT_ONCE]):
-                raise Refused(problem)
+            if problem := await self.installation.plan_service.apply_changes(changes[at : at + MOST_AT_ONCE]):
+                raise ChangeRefused(problem)
 
     async def run(self) -> None:
         await self.installation.run()
 
     async def change(self, customer: str) -> None:
         now = self.clock.unix_us()
-        await self.installation.keeper.make(SetPlan(customer, PLANS[0], now), "scale-run")
+        await self.installation.plan_service.make(SetPlan(customer, PLANS[0], now), "scale-run")
 
     def introduce(self, facts: Sequence[Fact]) -> None:
-        link = self.installation.link
+        link = self.installation.fleet_service
         assert link is not None
         for fact in facts:
             link.core.view.take(fact, self.clock.now, "scale-run")
@@ -158,12 +159,12 @@
         link.flush()
 
     def standing(self) -> Standing:
-        link, digest = self.installation.link, self.installation.keeper.book.digest()
+        link, digest = self.installation.fleet_service, self.installation.plan_service.book.digest()
         assert link is not None
         seen, core = len(link.core.view.seen()), link.core
         # What is lacking is costly to tell in a large fleet, and needless where news has just come.
         quiet = self.clock.now - core.view.changed_at >= core.pace.quiet
-        settled = quiet and not core.lacking()
+        settled = quiet and not core.reasons_unsettled()
         return Standing(self.name, seen, settled, int(digest.partition("-")[0]), digest)
 
     def arrivals(self) -> list[Arrival]:
@@ -171,7 +172,11 @@
         return found
 
     def stalls(self) -> int:
-        return self.installation.link.core.counts.stalls if self.installation.link is not None else 0
+        return (
+            self.installation.fleet_service.core.counts.stalls
+            if self.installation.fleet_service is not None
+            else 0
+        )
 
     def close(self) -> None:
         acceptor = self.installation.acceptor
@@ -217,11 +222,13 @@
 def fact_of(place: Place) -> Fact:
     """What the fleet knows of an ingress that is alive."""
     control = dial_of(place.control) if place.control else b""
-    return Fact(place.name, place.life, 0, State.ALIVE, Card(dial_of(place.datagrams), control, place.zone))
+    return Fact(
+        place.name, place.life, 0, State.ALIVE, Contact(dial_of(place.datagrams), control, place.zone)
+    )
 
 
 def dial_of(number: int) -> bytes:
-    return packed(f"127.0.0.1:{number}")
+    return pack_address(f"127.0.0.1:{number}")
 
 
 def is_changed(name: str) -> bool:
--- a/gorsefork/lab/scale/host.py
+++ b/gorsefork/lab/scale/host.py
@@ -26,7 +26,7 @@
 )
 from gorsefork.lab.scale.traffic import Network
 from gorsefork.memory.clock import Clock
-from gorsefork.plans.changes import Refused
+from gorsefork.plans.changes import ChangeRefused
 
 CHUNK = 1 << 16
 
@@ -86,7 +86,7 @@
                     return self.count()
                 case m.End():
                     return await self.kill(tuple(self.running))
-        except (OSError, Unknown, Refused, ValueError) as error:
+        except (OSError, Unknown, ChangeRefused, ValueError) as error:
             return m.Failed(f"{type(error).__name__}: {error}")
 
     def begin(self, given: m.Begin) -> m.Answer:
@@ -140,7 +140,7 @@
             return m.Made(self.clock.now, f"{command.name} does not run")
         try:
             await running.ingress.change(command.customer)
-        except Refused as refused:
+        except ChangeRefused as refused:
             return m.Made(self.clock.now, str(refused))
         return m.Made(self.clock.now)
 
--- a/gorsefork/lab/scale/real.py
+++ b/gorsefork/lab/scale/real.py
@@ -68,7 +68,7 @@
         client = HttpClient(self.control)
         try:
             data = b"" if body is None else json.dumps(body).encode()
-            answer = await client.ask(method, path, data, "application/json" if data else "", ASK_WITHIN)
+            answer = await client.request(method, path, data, "application/json" if data else "", ASK_WITHIN)
         finally:
             client.close()
         if answer.status != 200:
--- a/gorsefork/lab/scale/traffic.py
+++ b/gorsefork/lab/scale/traffic.py
@@ -83,7 +83,7 @@
 
 
 class CountedSocket:
-    """A datagram socket as ``FleetLink`` uses it. What the network loses is counted as sent."""
+    """A datagram socket as ``FleetService`` uses it. What the network loses is counted as sent."""
 
     def __init__(self, sock: socket.socket, zone: str, network: Network, traffic: Traffic) -> None:
         self.sock, self.zone, self.network, self.traffic = sock, zone, network, traffic
@@ -166,13 +166,13 @@
     def __init__(self, *given: Any, **named: Any) -> None:
         super().__init__(*given, **named)
         self.owner = owner.get()
-        self.port = int(self.dial.rpartition(":")[2])
+        self.port = int(self.address.rpartition(":")[2])
 
-    async def converse(
+    async def exchange(
         self, stream: Stream, http: h11.Connection, parts: list[bytes], kept: bool
     ) -> Response:
         kind = parts[0].split(b" ", 2)[1].partition(b"?")[0].decode("ascii", "replace")
         counted = CountedStream(stream, self.owner, self.port, kind)
-        response = await super().converse(counted, http, parts, kept)  # type: ignore[arg-type]
+        response = await super().exchange(counted, http, parts, kept)  # type: ignore[arg-type]
         self.owner.traffic.messages[f"in answer {kind}"] += 1
         return response
--- a/gorsefork/life/config.py
+++ b/gorsefork/life/config.py
@@ -9,13 +9,13 @@
 
 from gorsefork.decisions import interface as i
 from gorsefork.settings import to_settings
-from gorsefork.wire.stream import address
+from gorsefork.wire.stream import parse_address
 
 # What a value of another shape or beyond all bounds comes to where it is read.
-UNREADABLE = (KeyError, TypeError, AttributeError, ValueError, OverflowError)
+INVALID_VALUE_ERRORS = (KeyError, TypeError, AttributeError, ValueError, OverflowError)
 
 
-class BadConfig(Exception):
+class InvalidConfig(Exception):
     """A configuration that cannot be used; the text names the key."""
 
 
@@ -46,31 +46,31 @@
             with open(path, encoding="utf-8") as file:
                 raw = json.load(file)
         except (OSError, ValueError, RecursionError) as error:
-            raise BadConfig(f"PROXY_CONFIG: {error}") from None
+            raise InvalidConfig(f"PROXY_CONFIG: {error}") from None
     if not isinstance(raw, dict):
-        raise BadConfig(f"PROXY_CONFIG: an object is wanted, not {type(raw).__name__}")
+        raise InvalidConfig(f"PROXY_CONFIG: an object is wanted, not {type(raw).__name__}")
     for key in ("name", "listen", "discovery"):
         raw.setdefault(key, env.get(f"PROXY_{key.upper()}", ""))
     if ops := env.get("PROXY_OPS"):
         raw["ops"] = ops  # each process has its own: the variable is this one's, the file may be older
     fd = env.get("PROXY_FD", "")
     if fd and not (fd.isascii() and fd.isdigit() and int(fd) > 2):
-        raise BadConfig(f"PROXY_FD: {fd!r} is no descriptor")
+        raise InvalidConfig(f"PROXY_FD: {fd!r} is no descriptor")
     for key in ("listen", "discovery", "settings"):
         if not raw.get(key):
-            raise BadConfig(f"{key} is missing")
+            raise InvalidConfig(f"{key} is missing")
     try:
         settings = to_settings(raw["settings"])
-        i.check(settings)
-    except UNREADABLE as error:
-        raise BadConfig(f"settings: {type(error).__name__}: {error}") from None
+        i.validate_settings(settings)
+    except INVALID_VALUE_ERRORS as error:
+        raise InvalidConfig(f"settings: {type(error).__name__}: {error}") from None
     given = raw["settings"]
     try:
         for key in ("listen", "discovery", "counter", "peer_listen", "peers_all", "ops"):
             if raw.get(key):
-                address(raw[key])
+                parse_address(raw[key])
         for peer in raw.get("peers") or ():
-            address(peer)
+            parse_address(peer)
         return Config(
             raw["name"],
             raw["listen"],
@@ -89,5 +89,5 @@
             env.get("TMPDIR", "") if fd else "",
             int(fd) if fd else None,
         )
-    except UNREADABLE as error:
-        raise BadConfig(f"{type(error).__name__}: {error}") from None
+    except INVALID_VALUE_ERRORS as error:
+        raise InvalidConfig(f"{type(error).__name__}: {error}") from None
--- a/gorsefork/life/installation.py
+++ b/gorsefork/life/installation.py
@@ -13,32 +13,32 @@
 from gorsefork.decisions import interface as i
 from gorsefork.life.config import Config
 from gorsefork.life.control_connections import control_connections
-from gorsefork.life.keeper import NoStorage, PlanKeeper, RecordStorage
-from gorsefork.life.logs import Logs
-from gorsefork.life.operator import Operator, secret
+from gorsefork.life.logs import StructuredLog
+from gorsefork.life.operator import Operator, read_secret
 from gorsefork.life.plan_records import PlanRecords, load_book
+from gorsefork.life.plan_service import NoStorage, PlanService, RecordStorage
 from gorsefork.life.replication import Replication
 from gorsefork.memory.clock import SECOND, Clock
-from gorsefork.memory.deciding import Decider
-from gorsefork.plans.book import Book
-from gorsefork.plans.contracts import Contracts
+from gorsefork.memory.decision_actor import DecisionActor
+from gorsefork.plans.book import PlanBook
+from gorsefork.plans.contracts import PlanResolver
 from gorsefork.storage.database import Database, WriteFailed
 from gorsefork.storage.faults import Fault, no_fault
-from gorsefork.storage.recorder import Recorder, StoreWorker
+from gorsefork.storage.recorder import StoreWorker, UsageRecorder
 from gorsefork.storage.records import DurableRecords
-from gorsefork.storage.uses import DurableStore
-from gorsefork.usage.records import MILLION
-from gorsefork.usage.store import Unkept, UseStore, VolatileStore
+from gorsefork.storage.uses import DiskUsageStore
+from gorsefork.usage.records import MICRO_UNITS_PER_UNIT
+from gorsefork.usage.store import MemoryUsageStore, UsageNotStored, UsageStore
 from gorsefork.wire.acceptor import Acceptor
 from gorsefork.wire.fronts.configuration_calls import ConfigurationCalls
 from gorsefork.wire.fronts.control import ControlFront
 from gorsefork.wire.fronts.plan_calls import PlanCalls
-from gorsefork.wire.services.accounts import AccountsAt, Exporter
+from gorsefork.wire.services.accounts import AccountsSettings, Exporter
 
 if TYPE_CHECKING:
-    from gorsefork.wire.services.fleet_link import FleetLink
+    from gorsefork.wire.services.fleet_service import FleetService
 
-LAST_EXPORT = 1.0  # s at the end for what the accounts have not acknowledged
+FINAL_EXPORT_TIMEOUT_S = 1.0  # s at the end for what the accounts have not acknowledged
 
 
 class DiskStorage:
@@ -61,22 +61,23 @@
 
 
 class Installation:
-    """Opens the state at once (``BadState``), reads the keys (``BadOperatorFile``), runs with the ingress."""
+    """Opens the state at once (``InvalidState``), reads the keys (``InvalidOperatorFile``), runs with the
+    ingress."""
 
     def __init__(self, given: Operator, config: Config, clock: Clock, fault: Fault = no_fault) -> None:
-        self.given, self.config, self.clock = given, config, clock
-        self.key = secret("control", given.control.key_file) if given.control else ""
-        self.accounts_key = secret("usage", given.usage.key_file) if given.usage else ""
+        self.settings, self.config, self.clock = given, config, clock
+        self.key = read_secret("control", given.control.key_file) if given.control else ""
+        self.accounts_key = read_secret("usage", given.usage.key_file) if given.usage else ""
         now = clock.unix_us()
         self.database: Database | None = None
         self.records = RecordStore()
-        self.book = Book(PlanRecords(self.records))
+        self.book = PlanBook(PlanRecords(self.records))
         self.storage: RecordStorage = NoStorage()
-        store: UseStore = VolatileStore(config.name, now)
+        store: UsageStore = MemoryUsageStore(config.name, now)
         if given.state is not None:
             self.database = Database(Path(given.state.folder), config.name, given.state.sync, fault)
             try:
-                store = DurableStore(self.database, now)
+                store = DiskUsageStore(self.database, now)
                 durable = DurableRecords(self.database)
                 self.book = load_book(durable, self.records, now)
             except BaseException:
@@ -85,21 +86,21 @@
         self.worker = StoreWorker(store, threaded=self.database is not None)
         if self.database is not None:
             self.storage = DiskStorage(durable, self.worker)
-        self.log = Logs(given.log.form, config.name)
-        self.recorder: Recorder | None = None
+        self.log = StructuredLog(given.log.form, config.name)
+        self.recorder: UsageRecorder | None = None
         self.exporter: Exporter | None = None
         self.acceptor: Acceptor | None = None
-        self.link: FleetLink | None = None
-        self.exporting = trio.CancelScope()
+        self.fleet_service: FleetService | None = None
+        self.export_scope = trio.CancelScope()
         self.connections = control_connections(config.sockets)
-        self.began = clock.now
+        self.started_at = clock.now
 
-    def attach(self, decider: Decider, ready: Callable[[], bool]) -> None:
+    def attach(self, decider: DecisionActor, ready: Callable[[], bool]) -> None:
         """Take its place at the module's actor, before anything runs."""
         settings = self.config.settings
-        self.decider, self.ready = decider, ready
-        self.contracts = Contracts(settings.plans, self.book)
-        self.keeper = PlanKeeper(
+        self.decision_actor, self.ready = decider, ready
+        self.contracts = PlanResolver(settings.plans, self.book)
+        self.plan_service = PlanService(
             self.contracts,
             self.storage,
             self.clock,
@@ -108,24 +109,24 @@
             self.terms_changed,
             self.log,
         )
-        decider.terms = self.contracts
+        decider.plan_overrides = self.contracts
         self.replication = Replication(
             self.config.name,
-            self.given.fleet.zone if self.given.fleet else "",
-            self.given.control.peers if self.given.control else (),
+            self.settings.fleet.zone if self.settings.fleet else "",
+            self.settings.control.peers if self.settings.control else (),
             self.bearer(self.key),
             self.records,
-            self.keeper,
+            self.plan_service,
             self.clock,
             self.log,
             self.config.seed,
             self.connections,
         )
-        if self.given.usage is not None:
-            self.record_use(self.given.usage.most_waiting, settings)
-        if self.given.control is not None:
+        if self.settings.usage is not None:
+            self.set_up_usage(self.settings.usage.most_waiting, settings)
+        if self.settings.control is not None:
             front = ControlFront(self.key, self.status, self.usage, self.export)
-            self.plan_calls = PlanCalls(self.keeper, self.clock.unix_us, self.connections.listener // 2)
+            self.plan_calls = PlanCalls(self.plan_service, self.clock.unix_us, self.connections.listener // 2)
             front.routes.update(self.plan_calls.routes)
             replication = self.replication
             self.configuration_calls = ConfigurationCalls(
@@ -135,49 +136,51 @@
                 self.connections.listener // 4,
             )
             front.routes.update(self.configuration_calls.routes)
-            front.most_body.update(self.configuration_calls.most_body)
-            self.acceptor = Acceptor(self.given.control.listen, front, self.clock, self.connections.listener)
+            front.max_body.update(self.configuration_calls.max_body)
+            self.acceptor = Acceptor(
+                self.settings.control.listen, front, self.clock, self.connections.listener
+            )
             front.start = self.acceptor.start
-        if (fleet := self.given.fleet) is not None:
-            from gorsefork.life.fleet import fleet_link
+        if (fleet := self.settings.fleet) is not None:
+            from gorsefork.life.fleet import make_fleet_service
 
-            folder = self.given.state.folder if self.given.state else ""
-            control = self.acceptor.where if self.acceptor is not None else ""
-            self.link = fleet_link(
+            folder = self.settings.state.folder if self.settings.state else ""
+            control = self.acceptor.address if self.acceptor is not None else ""
+            self.fleet_service = make_fleet_service(
                 fleet,
                 self.config.name,
                 self.config.seed,
                 folder,
                 control,
-                (self.given.control.advertise or "") if self.given.control else "",
+                (self.settings.control.advertise or "") if self.settings.control else "",
                 self.clock,
                 self.log,
                 self.fleet_changed,
             )
-            self.replication.follow(self.link.control_peers)
-            if self.given.control is not None:
+            self.replication.follow(self.fleet_service.control_peers)
+            if self.settings.control is not None:
                 from gorsefork.wire.fronts.fleet_calls import FleetCalls
 
-                front.routes.update(FleetCalls(self.link).routes)
+                front.routes.update(FleetCalls(self.fleet_service).routes)
 
     def fleet_changed(self) -> None:
         """Those that the view sees are peers; the file's stay, as the way to them."""
         self.replication.view_changed()
 
-    def record_use(self, most_waiting: int, settings: i.Settings) -> None:
-        given = self.given.usage
+    def set_up_usage(self, most_waiting: int, settings: i.Settings) -> None:
+        given = self.settings.usage
         assert given is not None
         names = [plan.name for plan in settings.plans], [cls.name for cls in settings.classes]
-        self.recorder = recorder = Recorder(
+        self.recorder = recorder = UsageRecorder(
             self.worker,
             self.clock,
             most_waiting,
             names,
-            lambda: len(self.decider.calls),
+            lambda: len(self.decision_actor.calls),
             self.suspend,
             lambda: exporter.recorded(),
         )
-        at = AccountsAt(
+        at = AccountsSettings(
             given.accounts,
             given.path,
             given.form,
@@ -187,16 +190,16 @@
             self.bearer(self.accounts_key),
         )
         self.exporter = exporter = Exporter(
-            at, self.worker, self.clock, self.log, self.config.seed, recorder.look
+            at, self.worker, self.clock, self.log, self.config.seed, recorder.update_admission
         )
-        self.decider.uses = recorder
+        self.decision_actor.usage_recorder = recorder
 
     @staticmethod
     def bearer(key: str) -> str:
         return f"Bearer {key}" if key else ""
 
     def terms_changed(self, customers: Iterable[str]) -> None:
-        self.decider.terms_changed(customers)
+        self.decision_actor.terms_changed(customers)
 
     def suspend(self, shut: bool, reason: str) -> None:
         self.log(
@@ -204,74 +207,76 @@
             event="usage.suspended" if shut else "usage.resumed",
             reason=reason,
         )
-        self.decider.post(i.Suspend(shut))
+        self.decision_actor.post(i.SuspendAdmission(shut))
 
     async def run(self) -> None:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self.keeper.run)
+            nursery.start_soon(self.plan_service.run)
             nursery.start_soon(self.replication.run)
             if self.recorder is not None:
                 nursery.start_soon(self.recorder.run)
             if self.exporter is not None:
                 nursery.start_soon(self.export_until_the_end, self.exporter)
             if self.acceptor is not None:
-                where = self.acceptor.where
+                where = self.acceptor.address
                 self.log(f"control listener on {where}", event="control.begun", listen=where)
                 nursery.start_soon(self.acceptor.run)
-            if self.link is not None:
-                nursery.start_soon(self.link.run)
+            if self.fleet_service is not None:
+                nursery.start_soon(self.fleet_service.run)
 
     async def export_until_the_end(self, exporter: Exporter) -> None:
-        with self.exporting:
+        with self.export_scope:
             await exporter.run()
 
     async def catch_up(self) -> None:
         """Before this ingress is ready: what peers have that it missed, or say that it may lack some."""
-        expects_peers = bool(self.replication.peers.states) or (self.link is not None and self.link.seeded)
-        if self.given.control is not None and expects_peers:
-            await self.replication.catch_up(self.given.control.catch_up_ms / 1000)
+        expects_peers = bool(self.replication.peers.states) or (
+            self.fleet_service is not None and self.fleet_service.seeded
+        )
+        if self.settings.control is not None and expects_peers:
+            await self.replication.catch_up(self.settings.control.catch_up_ms / 1000)
 
     async def finish(self) -> None:
         """The end of a drain: goodbye to the fleet, and this life's last number is told, if the accounts
         answer in time."""
-        if self.link is not None:
-            await self.link.say_goodbye()
+        if self.fleet_service is not None:
+            await self.fleet_service.say_goodbye()
         if self.exporter is None:
             return
-        self.exporting.cancel()
+        self.export_scope.cancel()
         await trio.lowlevel.checkpoint()
         try:
             await self.worker.run(self.worker.store.end)
-        except Unkept as error:
+        except UsageNotStored as error:
             self.log(
                 f"the end of this life is told by the next: {error}",
                 event="usage.end_unkept",
                 reason=str(error),
             )
-        with trio.move_on_after(LAST_EXPORT):
+        with trio.move_on_after(FINAL_EXPORT_TIMEOUT_S):
             if self.exporter.shipping.state == "sending":  # cut off: that batch goes once more
-                self.exporter.shipping.nothing()
+                self.exporter.shipping.no_batch()
             await self.exporter.flush()
 
     def close(self) -> None:
-        if self.link is not None:
-            self.link.close()
+        if self.fleet_service is not None:
+            self.fleet_service.close()
         if self.database is not None:
             self.database.close()
         self.log.close()
 
     def export(self) -> None:
         if self.exporter is not None:
-            self.exporter.hurry()
+            self.exporter.export_now()
 
     def status(self) -> dict[str, Any]:
-        now, book = self.clock.now, self.keeper.book
+        now, book = self.clock.now, self.plan_service.book
         peers = self.replication.peers.status()
         return {
             "ingress": self.config.name,
             "life": str(self.worker.store.life),
             "ready": self.ready(),
-            "up_s": round((now - self.began) / SECOND, 3),
+            "up_s": round((now - self.started_at) / SECOND, 3),
             "book": {
                 "changes": len(book),
                 "digest": book.digest(),
@@ -281,7 +286,7 @@
             "peers": peers,
             "fellows": peers,  # the key by which the previous version told them
             "usage": self.usage(),
-            "fleet": self.link.status() if self.link is not None else None,
+            "fleet": self.fleet_service.status() if self.fleet_service is not None else None,
         }
 
     def usage(self) -> dict[str, Any]:
@@ -294,11 +299,11 @@
             "durable": self.database is not None,
             "life": str(self.worker.store.life),
             "recorded": recorder.recorded,
-            "units": recorder.micro / MILLION,
+            "units": recorder.micro / MICRO_UNITS_PER_UNIT,
             "groups": recorder.groups,
             "waiting": self.worker.store.waiting(),
-            "most_waiting": recorder.admission.most,
-            "refusing_calls": recorder.admission.shut,
+            "most_waiting": recorder.admission.max_waiting,
+            "refusing_calls": recorder.admission.closed_reason,
             "state": shipping.state,
             "problem": shipping.problem,
             "acknowledged_s_ago": None
--- a/gorsefork/life/logs.py
+++ b/gorsefork/life/logs.py
@@ -11,11 +11,11 @@
 
 import structlog
 
-MOST_WAITING = 10_000  # lines that a slow reader may be behind; later ones are dropped and counted
-LAST_WORDS = 0.5  # s at the end for what still waits
+MAX_WAITING_LINES = 10_000  # lines that a slow reader may be behind; later ones are dropped and counted
+CLOSE_TIMEOUT_S = 0.5  # s at the end for what still waits
 
 
-class Unblocking(logging.handlers.QueueHandler):
+class NonBlockingHandler(logging.handlers.QueueHandler):
     """Hands lines to the writer's thread; a full queue drops the line, and the next one that fits says so."""
 
     def __init__(self, lines: queue.Queue[Any]) -> None:
@@ -29,12 +29,12 @@
             self.dropped += 1
 
 
-class Logs:
+class StructuredLog:
     """``log(text, event=..., **fields)``; JSON lines, or text for a person."""
 
     def __init__(self, form: Literal["json", "text"], ingress: str, stream: TextIO | None = None) -> None:
-        self.queue: queue.Queue[Any] = queue.Queue(MOST_WAITING)
-        self.handler = Unblocking(self.queue)
+        self.queue: queue.Queue[Any] = queue.Queue(MAX_WAITING_LINES)
+        self.handler = NonBlockingHandler(self.queue)
         self.listener = logging.handlers.QueueListener(
             self.queue, logging.StreamHandler(stream if stream is not None else sys.stderr)
         )
@@ -45,7 +45,7 @@
             if form == "json"
             else structlog.dev.ConsoleRenderer(colors=False)
         )
-        self.bound = structlog.wrap_logger(
+        self.logger = structlog.wrap_logger(
             logger,
             processors=[
                 structlog.processors.add_log_level,
@@ -60,7 +60,7 @@
         dropped, self.handler.dropped = self.handler.dropped, 0
         if dropped:
             fields["lines_dropped"] = dropped
-        self.bound.info(event, text=text, ingress=self.ingress, **fields)
+        self.logger.info(event, text=text, ingress=self.ingress, **fields)
         if self.handler.dropped:  # this line too, and with it the count that it carried
             self.handler.dropped += dropped
 
@@ -68,4 +68,4 @@
         """Give the writer a little time, and leave it if its reader takes nothing."""
         last = threading.Thread(target=self.listener.stop, daemon=True)
         last.start()
-        last.join(LAST_WORDS)
+        last.join(CLOSE_TIMEOUT_S)
--- a/gorsefork/life/operator.py
+++ b/gorsefork/life/operator.py
@@ -13,18 +13,18 @@
 
 from pydantic import AfterValidator, BaseModel, ConfigDict, Field, ValidationError, model_validator
 
-from gorsefork.wire.stream import address
+from gorsefork.wire.stream import parse_address
 
-MOST_PEERS = 500
+MAX_PEERS = 500
 
 
-class BadOperatorFile(Exception):
+class InvalidOperatorFile(Exception):
     """A file that cannot be used: a line a fault, each beginning with its key."""
 
 
 def ip_and_port(text: str) -> str:
     try:
-        address(text)
+        parse_address(text)
     except ValueError:
         raise ValueError("must be an IP address and a port") from None
     return text
@@ -45,15 +45,15 @@
     listen: Dial
     advertise: Dial | None = None
     key_file: str = ""
-    peers: list[Dial] = Field(default=[], max_length=MOST_PEERS)
+    peers: list[Dial] = Field(default=[], max_length=MAX_PEERS)
     catch_up_ms: int = Field(default=3000, ge=0, le=60_000)
 
     @model_validator(mode="after")
     def guarded(self) -> Control:
-        host, _ = address(self.listen)
+        host, _ = parse_address(self.listen)
         if not ip_address(host).is_loopback and not self.key_file:
             raise ValueError("listen: off loopback a key_file is needed")
-        if self.advertise is not None and ip_address(address(self.advertise)[0]).is_unspecified:
+        if self.advertise is not None and ip_address(parse_address(self.advertise)[0]).is_unspecified:
             raise ValueError("advertise: names no address that peers can reach")
         if self.listen in self.peers or self.advertise in self.peers:
             raise ValueError("peers: names this listener itself")
@@ -88,7 +88,7 @@
     site: str = Field(min_length=1, max_length=64)
     key_file: str = ""
     advertise: str = ""
-    seeds: list[Dial] = Field(default=[], max_length=MOST_PEERS)
+    seeds: list[Dial] = Field(default=[], max_length=MAX_PEERS)
     zone: str = Field(default="", max_length=12)
     period_ms: int = Field(default=1000, ge=100, le=60_000)
     timeout_ms: int = Field(default=300, ge=20, le=30_000)
@@ -102,14 +102,14 @@
 
     @model_validator(mode="after")
     def reachable(self) -> Fleet:
-        host = ip_address(address(self.listen)[0])
+        host = ip_address(parse_address(self.listen)[0])
         if not host.is_loopback and not self.key_file:
             raise ValueError("listen: off loopback a key_file is needed")
         if host.is_unspecified and not self.advertise:
             raise ValueError("advertise: is needed where listen names no address of its own")
         if self.advertise:
             try:
-                ip_address(address(self.advertise)[0] if self.ported() else self.advertise)
+                ip_address(parse_address(self.advertise)[0] if self.ported() else self.advertise)
             except ValueError:
                 raise ValueError("advertise: must be an IP address, with a port or without") from None
         if self.timeout_ms > self.period_ms // 2:
@@ -131,16 +131,16 @@
 
 
 def read(text: str) -> Operator:
-    """``BadOperatorFile`` tells all that is wrong with it."""
+    """``InvalidOperatorFile`` tells all that is wrong with it."""
     try:
         return Operator.model_validate(tomllib.loads(text))
     except tomllib.TOMLDecodeError as error:
-        raise BadOperatorFile(f"file: is not TOML ({error})") from None
+        raise InvalidOperatorFile(f"file: is not TOML ({error})") from None
     except ValidationError as error:
-        raise BadOperatorFile("\n".join(fault(dict(each)) for each in error.errors())) from None
+        raise InvalidOperatorFile("\n".join(describe_error(dict(each)) for each in error.errors())) from None
 
 
-def fault(each: dict[str, object]) -> str:
+def describe_error(each: dict[str, object]) -> str:
     """One of pydantic's errors as our key and reason. The value stays out: it might be a secret."""
     where = each["loc"]
     assert isinstance(where, tuple)
@@ -153,27 +153,29 @@
     return f"{'.'.join(map(str, where)) or 'file'}: {reason}"
 
 
-def at_start(path: Path) -> Operator | None:
+def load_at_start(path: Path) -> Operator | None:
     """The file that the program starts with; None where it says ``enabled = false``."""
     try:
         given = read(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError) as error:
-        raise BadOperatorFile(f"file: {error}") from None
+        raise InvalidOperatorFile(f"file: {error}") from None
     return given if given.enabled else None
 
 
-def secret(section: str, path: str) -> str:
+def read_secret(section: str, path: str) -> str:
     """The key in a file of its own; empty where none is named. Others must not be able to read it."""
     if not path:
         return ""
     try:
         if os.stat(path).st_mode & 0o077:
-            raise BadOperatorFile(f"{section}.key_file: others may read it; chmod 600")
+            raise InvalidOperatorFile(f"{section}.key_file: others may read it; chmod 600")
         value = Path(path).read_text(encoding="utf-8").strip()
     except OSError as error:
-        raise BadOperatorFile(f"{section}.key_file: {error.strerror}") from None
+        raise InvalidOperatorFile(f"{section}.key_file: {error.strerror}") from None
     except UnicodeDecodeError:
-        raise BadOperatorFile(f"{section}.key_file: is not text") from None
+        raise InvalidOperatorFile(f"{section}.key_file: is not text") from None
     if not 16 <= len(value) <= 256 or not value.isascii() or not value.isprintable() or " " in value:
-        raise BadOperatorFile(f"{section}.key_file: must hold 16 to 256 printable characters without spaces")
+        raise InvalidOperatorFile(
+            f"{section}.key_file: must hold 16 to 256 printable characters without spaces"
+        )
     return value
--- a/gorsefork/life/record_intake.py
+++ b/gorsefork/life/record_intake.py
@@ -11,16 +11,16 @@
 from gorsefork.configuration.snapshot import Snapshot
 from gorsefork.configuration.store import RecordStore
 
-INSTALLED_AT_ONCE = 256  # records of a snapshot: some 20 ms
+RECORDS_PER_INSTALL_STEP = 256  # records of a snapshot: some 20 ms
 
-TakeRecords = Callable[[Sequence[Record]], Awaitable[list[RecordRefused | None]]]
+ApplyRecords = Callable[[Sequence[Record]], Awaitable[list[RecordRefused | None]]]
 
 
 class RecordIntake:
-    """``take_records`` checks records, keeps them on disk, puts them in force, and says which it refused."""
+    """``apply_records`` checks records, keeps them on disk, puts them in force, and says which it refused."""
 
-    def __init__(self, store: RecordStore, take_records: TakeRecords) -> None:
-        self.store, self.take_records = store, take_records
+    def __init__(self, store: RecordStore, take_records: ApplyRecords) -> None:
+        self.store, self.apply_records = store, take_records
         self.refusals: dict[int, RecordRefused] = {}  # of the last message, by mark
 
     async def take(self, messages: Sequence[AnyMessage]) -> list[Record]:
@@ -30,11 +30,11 @@
             if isinstance(message, Records):
                 records, _ = read_records(message)
                 lacking |= {record.mark(): record for record in records if not self.store.holds(record)}
-        return await self.take_lacking(lacking)
+        return await self.apply_missing(lacking)
 
-    async def take_lacking(self, lacking: dict[int, Record]) -> list[Record]:
+    async def apply_missing(self, lacking: dict[int, Record]) -> list[Record]:
         """By mark. What is refused is remembered until the next call."""
-        results = await self.take_records(list(lacking.values())) if lacking else []
+        results = await self.apply_records(list(lacking.values())) if lacking else []
         self.refusals, taken = {}, []
         for (mark, record), refused in zip(lacking.items(), results, strict=True):
             if refused is None:
@@ -51,13 +51,13 @@
         taken, lacking = 0, dict[int, Record]()
         for _, records in snapshot.leaves():
             lacking |= {record.mark(): record for record in records if not self.store.holds(record)}
-            if len(lacking) >= INSTALLED_AT_ONCE:
-                taken += len(await self.take_lacking(lacking))
+            if len(lacking) >= RECORDS_PER_INSTALL_STEP:
+                taken += len(await self.apply_missing(lacking))
                 lacking = {}
                 await trio.lowlevel.checkpoint()
-        return taken + len(await self.take_lacking(lacking))
+        return taken + len(await self.apply_missing(lacking))
 
-    def judged(self, records: Sequence[Record]) -> list[RecordRefused | None]:
+    def refusals_of(self, records: Sequence[Record]) -> list[RecordRefused | None]:
         """For the replicator: why each of these was refused by the last ``take``.
 
         To be asked before anything else runs.
--- a/gorsefork/life/replication.py
+++ b/gorsefork/life/replication.py
@@ -12,25 +12,25 @@
 from gorsefork.configuration.intake import place_of
 from gorsefork.configuration.messages import Statement, StatementWanted
 from gorsefork.configuration.records import Record, Version
-from gorsefork.configuration.replication import Peer, Replicator, Tempo
+from gorsefork.configuration.replication import Peer, ReplicationTimings, Replicator
 from gorsefork.configuration.snapshot import Snapshot
 from gorsefork.configuration.store import RecordStore
 from gorsefork.life.control_connections import ControlConnections
-from gorsefork.life.keeper import PlanKeeper
-from gorsefork.life.plan_records import KIND, record_of
+from gorsefork.life.plan_records import PLAN_KIND, record_of
+from gorsefork.life.plan_service import PlanService
 from gorsefork.life.record_intake import RecordIntake
-from gorsefork.life.unknown_records import RecordsByKind, UnknownRecords
+from gorsefork.life.unknown_kinds import RecordsByKind, UnknownRecords
 from gorsefork.memory.clock import SECOND, Clock
 from gorsefork.memory.ports import Log
-from gorsefork.plans.changes import Refused
-from gorsefork.wire.services.exchange import Transport, peer_headers
-from gorsefork.wire.services.feeds import FeedReader
-from gorsefork.wire.services.fleet_link import ControlPeer
-from gorsefork.wire.services.peers import Peers
-from gorsefork.wire.services.survey import Member, Question, in_force
+from gorsefork.plans.changes import ChangeRefused
+from gorsefork.wire.services.feed_reader import FeedReader
+from gorsefork.wire.services.fleet_query import Member, Question, in_force
+from gorsefork.wire.services.fleet_service import ControlPeer
+from gorsefork.wire.services.replication_peers import ReplicationPeers
+from gorsefork.wire.services.replication_transport import Transport, peer_headers
 
-LOOK_EVERY = 0.5  # s at the least between two looks at the fleet's view
-MOST_NAMED = 20  # peers in one log line or status
+VIEW_CHECK_INTERVAL_S = 0.5  # s at the least between two looks at the fleet's view
+MAX_NAMED_PEERS = 20  # peers in one log line or status
 
 
 class Replication:
@@ -43,40 +43,40 @@
         fixed: Sequence[str],
         authorization: str,
         store: RecordStore,
-        keeper: PlanKeeper,
+        keeper: PlanService,
         clock: Clock,
         log: Log,
         seed: int,
         connections: ControlConnections,
     ) -> None:
         self.connections = connections
-        self.name, self.authorization, self.store, self.keeper = name, authorization, store, keeper
+        self.name, self.authorization, self.store, self.plan_service = name, authorization, store, keeper
         self.clock, self.log = clock, log
-        self.fixed = [Peer(address, address, "") for address in dict.fromkeys(fixed)]
+        self.configured_peers = [Peer(address, address, "") for address in dict.fromkeys(fixed)]
         self.view: list[ControlPeer] = []
-        self.look: Callable[[], Sequence[ControlPeer]] = tuple
-        self.to_look = trio.Event()
+        self.get_view: Callable[[], Sequence[ControlPeer]] = tuple
+        self.view_is_stale = trio.Event()
         self.restored = len(store), store.newest
         unknown = UnknownRecords(store, keeper.storage, clock, lambda: keeper.book.horizon, log)
-        by_kind = RecordsByKind({KIND: keeper.take_records}, unknown.take_records)
-        self.intake = RecordIntake(store, by_kind.take_records)
+        by_kind = RecordsByKind({PLAN_KIND: keeper.apply_records}, unknown.apply_records)
+        self.intake = RecordIntake(store, by_kind.apply_records)
         self.replicator = Replicator(
             name,
             zone,
             store,
-            self.intake.judged,
+            self.intake.refusals_of,
             random.Random(f"{seed}{clock.unix_us()}"),
-            Tempo(in_flight=connections.requests),
+            ReplicationTimings(in_flight=connections.requests),
             life=clock.unix_us(),
             install=self.install,
         )
         self.feeds = FeedReader(
-            authorization, clock, seed, keeper.learn, self.feed_reported, peer_headers(name)
+            authorization, clock, seed, keeper.apply_changes, self.feed_reported, peer_headers(name)
         )
-        transport = Transport(name, authorization, connections.requests, connections.kept)
-        self.peers = Peers(transport, self.replicator, self.intake, self.feeds, clock, log)
-        keeper.published = self.publish
-        self.see(())
+        transport = Transport(name, authorization, connections.requests, connections.idle)
+        self.peers = ReplicationPeers(transport, self.replicator, self.intake, self.feeds, clock, log)
+        keeper.on_published = self.publish
+        self.apply_view(())
 
     def publish(self, records: Sequence[Record]) -> None:
         self.peers.publish(records)
@@ -89,26 +89,28 @@
 
     def follow(self, look: Callable[[], Sequence[ControlPeer]]) -> None:
         """``look`` tells the other members of the fleet's view; it is asked after ``view_changed``."""
-        self.look = look
+        self.get_view = look
 
     def view_changed(self) -> None:
-        self.to_look.set()
+        self.view_is_stale.set()
 
     async def follow_view(self) -> None:
         """Guards against a large fleet that starts at once: a look at each member for each of its changes
         would cost the square of its size."""
         while True:
-            await self.to_look.wait()
-            self.to_look = trio.Event()
-            self.see(self.look())
-            await trio.sleep(LOOK_EVERY)
+            await self.view_is_stale.wait()
+            self.view_is_stale = trio.Event()
+            self.apply_view(self.get_view())
+            await trio.sleep(VIEW_CHECK_INTERVAL_S)
 
-    def see(self, view: Iterable[ControlPeer]) -> None:
+    def apply_view(self, view: Iterable[ControlPeer]) -> None:
         """The other members of the fleet's view. Replication speaks with those that are taken for living."""
         self.view = list(view)
         seen = [Peer(each.name, each.address, each.zone) for each in self.view if each.seen and each.address]
         addresses = {peer.address for peer in seen}
-        self.peers.set_peers([*seen, *(peer for peer in self.fixed if peer.address not in addresses)])
+        self.peers.set_peers(
+            [*seen, *(peer for peer in self.configured_peers if peer.address not in addresses)]
+        )
 
     async def run(self) -> None:
         records, newest = self.restored
@@ -136,7 +138,7 @@
         self.log(
             f"not known to hold all that its peers hold; the newest change here is {shown(newest) or 'none'}",
             event="plan.behind",
-            unheard=unheard[:MOST_NAMED],
+            unheard=unheard[:MAX_NAMED_PEERS],
             unheard_count=len(unheard),
             lacking=max(0, self.peers.most_records - len(self.store)),
             newest=newest.stamp,
@@ -153,7 +155,7 @@
             "records": len(self.store),
             "bytes": self.store.size,
             "newest": shown(self.store.newest),
-            "horizon": self.keeper.book.horizon,
+            "horizon": self.plan_service.book.horizon,
             "changed_s_ago": seconds_since(self.replicator.intake.changed_at, now),
             "restored": {"records": self.restored[0], "newest": shown(self.restored[1])},
             "caught_up": self.peers.agreed.is_set(),
@@ -163,8 +165,8 @@
             "peers": {
                 "known": len(states),
                 "heard": len(states) - len(unheard),
-                "unheard": unheard[:MOST_NAMED],
-                "failing": [state.peer.name for state in states if state.problem][:MOST_NAMED],
+                "unheard": unheard[:MAX_NAMED_PEERS],
+                "failing": [state.peer.name for state in states if state.problem][:MAX_NAMED_PEERS],
                 "old_version": sum(bool(state.old_until) for state in states),
             },
             "requests": {purpose.value: count for purpose, count in figures.requests.items()},
@@ -177,13 +179,13 @@
     async def in_force(self, number: str) -> dict[str, Any]:
         """Who of the whole fleet has the change of that number; without one, who holds what is held here.
 
-        ``Refused``: the number makes no sense (400), or nothing here has it (404).
+        ``ChangeRefused``: the number makes no sense (400), or nothing here has it (404).
         """
         place = None
         if number:
-            change = self.keeper.book.get(self.keeper.number(number))
+            change = self.plan_service.book.get(self.plan_service.parse_number(number))
             if change is None:
-                raise Refused(f"no change {number} here: ask the ingress that accepted it", 404)
+                raise ChangeRefused(f"no change {number} here: ask the ingress that accepted it", 404)
             place = place_of(record_of(change))
         own = msgspec.structs.replace(self.statement(), held=[] if place is None else [True])
         question = Question(own, place, number)
@@ -201,7 +203,9 @@
     def members(self) -> list[Member]:
         """All other members whose lives go on, and the peers of the file. Who is not seen comes last."""
         addresses = {each.address for each in self.view}
-        fixed = [Member(peer.name, peer.address) for peer in self.fixed if peer.address not in addresses]
+        fixed = [
+            Member(peer.name, peer.address) for peer in self.configured_peers if peer.address not in addresses
+        ]
         view = sorted(self.view, key=lambda each: not each.seen)
         return [*fixed, *(Member(each.name, each.address) for each in view)]
 
--- a/gorsefork/life/start.py
+++ b/gorsefork/life/start.py
@@ -16,20 +16,20 @@
 import trio
 
 from gorsefork.decisions import interface as i
-from gorsefork.life.config import BadConfig, Config, read_config
-from gorsefork.memory.clock import Clock, Held
+from gorsefork.life.config import Config, InvalidConfig, read_config
+from gorsefork.memory.clock import Clock, LoopStalls
 from gorsefork.memory.commands import OperatorCommands
-from gorsefork.memory.deciding import Decider
+from gorsefork.memory.decision_actor import DecisionActor
 from gorsefork.memory.ports import Log
 from gorsefork.memory.registry import Registry
 from gorsefork.memory.serving import ServingState
 from gorsefork.wire.acceptor import Acceptor
 from gorsefork.wire.backends import BackendPool
 from gorsefork.wire.counter import CounterClient
-from gorsefork.wire.datagrams import PeerSocket
-from gorsefork.wire.discovery import BadList, DiscoveryWatch, read_list
+from gorsefork.wire.discovery import DiscoveryClient, InvalidBackendList, read_list
 from gorsefork.wire.fronts.operators import OperatorsFront
-from gorsefork.wire.http1.connection import LAST_HEADS
+from gorsefork.wire.http1.connection import LAST_HEADS_TIMEOUT_S
+from gorsefork.wire.peer_socket import PeerSocket
 from gorsefork.wire.platform import PlatformFront
 
 if TYPE_CHECKING:
@@ -37,22 +37,23 @@
     from gorsefork.life.installation import Installation
     from gorsefork.life.introspection_config import IntrospectionConfig
 
-CLIENT_SHARE, BACKEND_SHARE, SECOND_SHARE = 0.4, 0.3, 0.1  # of the descriptors
-OTHERS = 34  # descriptors for all else: listeners, operators, counter, discovery, peers, the loop's own
+CLIENT_SHARE, BACKEND_SHARE, INTROSPECTION_SHARE = 0.4, 0.3, 0.1  # of the descriptors
+# descriptors for all else: listeners, operators, counter, discovery, peers, the loop's own
+OTHER_DESCRIPTORS = 34
 # Of the descriptors, clients without a request. Guards against a crowd that takes this ingress's time rather
 # than its places: with four times as many, those that ask nonsense on and on left too little for calls.
-IDLE_SHARE = 0.1
-DISCOVERY_PATIENCE = 0.3  # s at the start for discovery's first word, before this ingress is ready
-ACCEPT_FOR = 0.45  # s after SIGTERM: the front goes on sending new connections for up to 0.4 s
-LAST_REQUESTS = 0.1  # s for the requests on the last connections to be read
+IDLE_CLIENT_SHARE = 0.1
+DISCOVERY_TIMEOUT_S = 0.3  # s at the start for discovery's first word, before this ingress is ready
+ACCEPT_AFTER_SIGTERM_S = 0.45  # s after SIGTERM: the front goes on sending new connections for up to 0.4 s
+LAST_REQUESTS_S = 0.1  # s for the requests on the last connections to be read
 # s after SIGTERM, the last answers: SIGKILL comes no sooner than the longest deadline (counted as 3 s where
 # it is longer) and 0.7 s more.
-LONGEST_COUNTED, FINISH_AFTER = 3.0, 0.3
-LAST_WRITES = 0.1  # s for answers to leave
-POUR_MOST = 60.0  # s after SIGTERM for long answers to leave, if nobody ends this process sooner
+MAX_DEADLINE_COUNTED_S, FINISH_MARGIN_S = 3.0, 0.3
+LAST_WRITES_S = 0.1  # s for answers to leave
+MAX_STREAMING_S = 60.0  # s after SIGTERM for long answers to leave, if nobody ends this process sooner
 DEPLOY = Path(__file__).parents[2] / "deploy"
-OPERATOR, INTROSPECTION = DEPLOY / "operator.toml", DEPLOY / "introspection.toml"
-LOOK_EVERY = 0.02  # s between looks whether all have left
+OPERATOR_FILE, INTROSPECTION_FILE = DEPLOY / "operator.toml", DEPLOY / "introspection.toml"
+CHECK_INTERVAL_S = 0.02  # s between looks whether all have left
 
 
 def log(text: str, /, *, event: str = "", **fields: object) -> None:
@@ -63,19 +64,19 @@
     """The operator's file, if there is one. Without it nothing of what it switches on is even loaded."""
     if path := env.get("GORSEFORK_OPERATOR"):
         return Path(path)
-    return OPERATOR if OPERATOR.exists() else None
+    return OPERATOR_FILE if OPERATOR_FILE.exists() else None
 
 
-class Absent:
+class AbsentService:
     """Stands where a site has no counter or no messages: nothing is added, nothing is sent."""
 
     def __init__(self, post: Callable[[i.Event], None]) -> None:
         self.post = post
 
     def add(self, name: str, amount: float, ttl_us: int) -> None:
-        self.post(i.Counted(name, "connect_failed"))
+        self.post(i.CounterReply(name, "connect_failed"))
 
-    def tell(self, peer: int | None, data: bytes) -> None:
+    def send(self, peer: int | None, data: bytes) -> None:
         """A message that reaches nobody."""
 
 
@@ -89,38 +90,42 @@
         introspection: IntrospectionConfig | None,
         extra: Installation | None = None,
     ) -> None:
-        self.config, self.extra, self.second = config, extra, introspection is not None
+        self.config, self.installation, self.has_introspection = config, extra, introspection is not None
         self.log: Log = extra.log if extra is not None else log
         settings, sockets = config.settings, config.sockets
         self.clock, self.serving, self.ending = clock, ServingState(), trio.Event()
-        clock.tell_held = self.log_held
+        clock.on_stalls = self.log_stalls
         self.ready = self.serving.ready
-        self.decider = Decider(settings, config.seed, clock, self.note)
-        self.decider.sites += config.sites
-        self.decider.kinds += config.kinds
-        self.registry = Registry(self.decider.listed, lambda host: self.pool.changed(host))
+        self.decision_actor = DecisionActor(settings, config.seed, clock, self.log_note)
+        self.decision_actor.site_names += config.sites
+        self.decision_actor.kind_names += config.kinds
+        self.registry = Registry(
+            self.decision_actor.backends_updated, lambda host: self.pool.on_backend_change(host)
+        )
         self.pool = BackendPool(
             clock,
             self.registry,
-            self.decider.ended,
+            self.decision_actor.attempt_ended,
             settings.limits.keepalive,
             settings.limits.connect_timeout,
             int(sockets * BACKEND_SHARE),
-            self.decider.opened,
+            self.decision_actor.begin_streamed_answer,
         )
         known = read_list(config.known, clock, cached=True)
         self.registry.apply(known)
-        self.watch = DiscoveryWatch(
+        self.discovery = DiscoveryClient(
             config.discovery,
             self.registry,
             clock,
             known.version,
             random.Random(config.seed),
-            settings.gatekeepers if settings.subscribe else 0,
+            settings.ingresses if settings.subscribe else 0,
         )
-        absent = Absent(self.decider.post)
+        absent = AbsentService(self.decision_actor.post)
         self.counter = (
-            CounterClient(config.counter, clock, settings.accounting.counter_timeout, self.decider.post)
+            CounterClient(
+                config.counter, clock, settings.accounting.counter_timeout, self.decision_actor.post
+            )
             if config.counter
             else None
         )
@@ -129,29 +134,37 @@
                 config.peer_listen,
                 config.peers,
                 config.peers_all,
-                settings.me,
-                self.hear_peer,
+                settings.own_index,
+                self.receive_peer_message,
                 config.listen_fd is not None,
             )
             if config.peer_listen
             else None
         )
-        self.decider.backends, self.decider.discovery = self.pool, self.watch
-        self.decider.counter, self.decider.peers = self.counter or absent, self.peers or absent
+        self.decision_actor.backends, self.decision_actor.discovery = self.pool, self.discovery
+        self.decision_actor.counter, self.decision_actor.peers = self.counter or absent, self.peers or absent
         front = PlatformFront(
-            settings, self.decider.take, self.decider.gone, self.ready.is_set, self.serving.healthy
+            settings,
+            self.decision_actor.accept_call,
+            self.decision_actor.client_gone,
+            self.ready.is_set,
+            self.serving.healthy,
         )
-        most = self.most_clients(sockets)
+        most = self.max_clients(sockets)
         self.acceptors = [
-            Acceptor(config.listen, front, clock, most, int(sockets * IDLE_SHARE), config.listen_fd)
+            Acceptor(config.listen, front, clock, most, int(sockets * IDLE_CLIENT_SHARE), config.listen_fd)
         ]
         if introspection is not None:
-            self.acceptors.append(self.second_front(introspection, settings, sockets))
+            self.acceptors.append(self.make_introspection_acceptor(introspection, settings, sockets))
         if extra is not None:
-            extra.attach(self.decider, self.ready.is_set)
-        self.serving.listeners += [acceptor.away for acceptor in self.acceptors]
+            extra.attach(self.decision_actor, self.ready.is_set)
+        self.serving.listeners += [acceptor.set_draining for acceptor in self.acceptors]
         self.commands = OperatorCommands(
-            self.serving, self.registry, self.decider.figures, self.decider.avoided, self.log
+            self.serving,
+            self.registry,
+            self.decision_actor.metrics,
+            self.decision_actor.avoided_backends,
+            self.log,
         )
         self.operators = OperatorsFront(config.ops, self.commands.answer) if config.ops else None
         self.handover: Handover | None = None
@@ -160,27 +173,29 @@
 
             self.handover = Handover(self, config.scratch)
 
-    def note(self, text: str) -> None:
+    def log_note(self, text: str) -> None:
         self.log(text, event="note")
 
-    def log_held(self, held: Held) -> None:
+    def log_stalls(self, held: LoopStalls) -> None:
         turn, oversleep = held.longest_turn // 1000, held.longest_oversleep // 1000
         self.log(
-            f"gorsefork: held up {held.times} times: a turn of {turn} ms, a wait {oversleep} ms too long",
+            f"gorsefork: held up {held.count} times: a turn of {turn} ms, a wait {oversleep} ms too long",
             event="process.held",
-            times=held.times,
+            times=held.count,
             longest_turn_ms=turn,
             longest_oversleep_ms=oversleep,
         )
 
-    def hear_peer(self, message: i.PeerMessage) -> None:
-        self.decider.hear(message)
+    def receive_peer_message(self, message: i.PeerMessage) -> None:
+        self.decision_actor.receive_peer_message(message)
         if self.handover is not None:
-            self.handover.pass_on(message)
+            self.handover.forward_quota_answer(message)
 
-    def second_front(self, given: IntrospectionConfig, settings: i.Settings, sockets: int) -> Acceptor:
-        from gorsefork.life.introspection_config import tenants_of
-        from gorsefork.wire.introspection import Gate, IntrospectionFront
+    def make_introspection_acceptor(
+        self, given: IntrospectionConfig, settings: i.Settings, sockets: int
+    ) -> Acceptor:
+        from gorsefork.life.introspection_config import make_tenants
+        from gorsefork.wire.introspection import IntrospectionFront, TokenChecker
         from gorsefork.wire.introspection_client import IntrospectionClient
 
         client = IntrospectionClient(
@@ -191,60 +206,62 @@
             given.timeout_ms / 1000,
             given.most_in_flight,
             self.clock,
-            self.note,
+            self.log_note,
         )
         front = IntrospectionFront(
             settings,
-            Gate(client, given.scopes, given.audience),
-            tenants_of(given, settings, self.note),
+            TokenChecker(client, given.scopes, given.audience),
+            make_tenants(given, settings, self.log_note),
             given.tenant_claim,
             given.max_age_ms,
             self.clock,
-            self.decider.take,
-            self.decider.gone,
+            self.decision_actor.accept_call,
+            self.decision_actor.client_gone,
             self.ready.is_set,
         )
-        acceptor = Acceptor(given.listen, front, self.clock, int(sockets * SECOND_SHARE))
+        acceptor = Acceptor(given.listen, front, self.clock, int(sockets * INTROSPECTION_SHARE))
         front.start = acceptor.start
         return acceptor
 
-    def most_clients(self, sockets: int) -> int:
+    def max_clients(self, sockets: int) -> int:
         """Guards against a crowd of clients that leaves no descriptor for operators, counter or discovery."""
-        rest = 1.0 - BACKEND_SHARE - (SECOND_SHARE if self.second else 0.0)
-        others = OTHERS + (self.extra.connections.descriptors if self.extra is not None else 0)
+        rest = 1.0 - BACKEND_SHARE - (INTROSPECTION_SHARE if self.has_introspection else 0.0)
+        others = OTHER_DESCRIPTORS + (
+            self.installation.connections.descriptors if self.installation is not None else 0
+        )
         return max(4, min(int(sockets * CLIENT_SHARE), int(sockets * rest) - others))
 
     def share_limits(self, shared: bool) -> None:
         """While two processes are this ingress, each may hold half of its connections."""
         sockets = self.config.sockets // 2 if shared else self.config.sockets
-        self.acceptors[0].most = self.most_clients(sockets)
-        self.acceptors[0].most_idle = int(sockets * IDLE_SHARE)
-        self.pool.most_links = int(sockets * BACKEND_SHARE)
+        self.acceptors[0].max_connections = self.max_clients(sockets)
+        self.acceptors[0].max_idle = int(sockets * IDLE_CLIENT_SHARE)
+        self.pool.max_connections = int(sockets * BACKEND_SHARE)
 
-    def begin_taking(self) -> None:
+    def begin_serving(self) -> None:
         """Clients and peers come to this process from here on."""
-        if not self.serving.closing or (self.handover is not None and self.handover.deserted()):
-            self.acceptors[0].begin()
-            self.acceptors[0].away(self.serving.away)
+        if not self.serving.closing or (self.handover is not None and self.handover.successor_is_gone()):
+            self.acceptors[0].begin_accepting()
+            self.acceptors[0].set_draining(self.serving.draining_clients)
         if self.peers is not None:
             self.peers.open()
 
-    def cease_taking(self) -> None:
+    def stop_serving(self) -> None:
         """Another process of this ingress takes; this one finishes what it has, and no connection stays."""
-        self.acceptors[0].cease()
-        self.acceptors[0].away(True)
+        self.acceptors[0].stop_accepting()
+        self.acceptors[0].set_draining(True)
 
     async def run(self) -> None:
         """Until SIGTERM, and then until the drain is over."""
         with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self.run_parts)
-                nursery.start_soon(self.heed, signals)
+                nursery.start_soon(self.handle_signals, signals)
                 await self.ending.wait()
                 await self.drain()
                 nursery.cancel_scope.cancel()
 
-    async def heed(self, signals: AsyncIterator[int]) -> None:
+    async def handle_signals(self, signals: AsyncIterator[int]) -> None:
         """Also during the drain: trio raises the signals that nobody took once more when all has ended."""
         async for number in signals:
             if number == signal.SIGHUP:
@@ -257,14 +274,14 @@
         try:
             new = read_config(env)
             read_list(new.known, self.clock, cached=True)
-        except (BadConfig, BadList) as error:
+        except (InvalidConfig, InvalidBackendList) as error:
             self.log(
                 f"gorsefork: kept the old configuration: {error}", event="config.kept", reason=str(error)
             )
             return
         old, here = self.config, {"known", "seed", "discovery"}
         if new.discovery != old.discovery:
-            self.watch.move(new.discovery)
+            self.discovery.move(new.discovery)
         if self.counter is not None and new.counter:
             here.add("counter")
             if new.counter != old.counter:
@@ -283,11 +300,11 @@
             if self.operators is not None:
                 nursery.start_soon(self.operators.run)
             if self.handover is not None:
-                await self.handover.meet()
-                nursery.start_soon(self.handover.follow)
+                await self.handover.connect()
+                nursery.start_soon(self.handover.run)
             elif self.config.listen_fd is not None:
-                self.begin_taking()
-            for run in (self.decider.run, self.registry.run, self.pool.run, self.watch.run):
+                self.begin_serving()
+            for run in (self.decision_actor.run, self.registry.run, self.pool.run, self.discovery.run):
                 nursery.start_soon(run)
             for acceptor in self.acceptors:
                 nursery.start_soon(acceptor.run)
@@ -295,92 +312,101 @@
                 nursery.start_soon(self.counter.run)
             if self.peers is not None:
                 nursery.start_soon(self.peers.run)
-            if self.extra is not None:
-                nursery.start_soon(self.extra.run)
+            if self.installation is not None:
+                nursery.start_soon(self.installation.run)
             nursery.start_soon(self.become_ready)
 
     async def become_ready(self) -> None:
         # Guards against a send to what has left since the known list: where the list is pushed, its news
         # count as told. Where it must be asked for, a known list is enough to serve by.
-        if not self.registry.hosts or not self.config.settings.subscribe:
-            with trio.move_on_after(DISCOVERY_PATIENCE):
-                await self.watch.answered.wait()
-        if self.extra is not None:
-            await self.extra.catch_up()
+        if not self.registry.backends or not self.config.settings.subscribe:
+            with trio.move_on_after(DISCOVERY_TIMEOUT_S):
+                await self.discovery.answered.wait()
+        if self.installation is not None:
+            await self.installation.catch_up()
         gc.collect()
         gc.freeze()  # what lives as long as the program is not worth looking at again
         self.ready.set()
-        where = [acceptor.where for acceptor in self.acceptors]
-        control = self.extra.acceptor.where if self.extra is not None and self.extra.acceptor else ""
+        where = [acceptor.address for acceptor in self.acceptors]
+        control = (
+            self.installation.acceptor.address
+            if self.installation is not None and self.installation.acceptor
+            else ""
+        )
         self.log(
             f"gorsefork: ready on {', '.join(where)}", event="ingress.ready", listen=where, control=control
         )
 
-    def finish_within(self) -> float:
+    def drain_timeout(self) -> float:
         longest = max(cls.deadline for cls in self.config.settings.classes)
-        return min(LONGEST_COUNTED, longest) + FINISH_AFTER
+        return min(MAX_DEADLINE_COUNTED_S, longest) + FINISH_MARGIN_S
 
     def open_calls(self) -> int:
         """Calls that have no final answer yet."""
-        return sum(not call.over for call in self.decider.calls.values())
+        return sum(not call.finished for call in self.decision_actor.calls.values())
 
     async def drain(self) -> None:
         """Finish what was taken: new connections for a while yet, then only the calls in hand."""
         began, self.serving.closing = trio.current_time(), True
         waiting = self.open_calls()
         self.log(f"gorsefork: drains, with {waiting} calls in hand", event="drain.begun", open_calls=waiting)
-        followed = self.handover is not None and self.handover.next is not None
+        followed = self.handover is not None and self.handover.successor is not None
         if followed:
-            self.acceptors[0].cease()
+            self.acceptors[0].stop_accepting()
         for acceptor in self.acceptors:
             acceptor.closing = True
-            acceptor.close_idle(math.inf if followed else LAST_HEADS)
+            acceptor.close_idle(math.inf if followed else LAST_HEADS_TIMEOUT_S)
         if self.handover is not None and followed:
-            self.decider.turn()  # what has come is decided by what is here still
-            followed = self.handover.give()
+            self.decision_actor.run_turn()  # what has come is decided by what is here still
+            followed = self.handover.hand_over()
         if not followed:
-            await trio.sleep_until(began + ACCEPT_FOR)
+            await trio.sleep_until(began + ACCEPT_AFTER_SIGTERM_S)
         async with trio.open_nursery() as nursery:
             for acceptor in self.acceptors:
                 if not followed or acceptor is not self.acceptors[0]:
-                    nursery.start_soon(acceptor.stop_listening, began + self.finish_within() - LAST_REQUESTS)
+                    nursery.start_soon(
+                        acceptor.stop_listening, began + self.drain_timeout() - LAST_REQUESTS_S
+                    )
         self.log("gorsefork: takes no more connections", event="drain.listeners_closed")
-        await trio.sleep(LAST_REQUESTS)
-        while trio.current_time() < began + self.finish_within() and (
+        await trio.sleep(LAST_REQUESTS_S)
+        while trio.current_time() < began + self.drain_timeout() and (
             any(acceptor.busy() for acceptor in self.acceptors)
-            or (self.handover is not None and self.handover.deserted())
+            or (self.handover is not None and self.handover.successor_is_gone())
         ):
-            await trio.sleep(LOOK_EVERY)
+            await trio.sleep(CHECK_INTERVAL_S)
         for acceptor in self.acceptors:
             acceptor.end_reading()
         given_up = self.open_calls()
-        self.decider.post(i.Closing())
-        await trio.sleep(LAST_WRITES)
+        self.decision_actor.post(i.ShuttingDown())
+        await trio.sleep(LAST_WRITES_S)
         self.log(f"gorsefork: drained; {given_up} calls given up", event="drain.ended", given_up=given_up)
-        while any(a.pouring() for a in self.acceptors) and trio.current_time() < began + POUR_MOST:
-            await trio.sleep(LOOK_EVERY)
-        if self.extra is not None:
-            await self.extra.finish()
+        while (
+            any(a.has_streamed_answers() for a in self.acceptors)
+            and trio.current_time() < began + MAX_STREAMING_S
+        ):
+            await trio.sleep(CHECK_INTERVAL_S)
+        if self.installation is not None:
+            await self.installation.finish()
 
 
 def main() -> None:
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # outside of ``run`` it is to end nothing either
-    faults: tuple[type[Exception], ...] = (BadConfig, BadList)
+    faults: tuple[type[Exception], ...] = (InvalidConfig, InvalidBackendList)
     try:
         config = read_config(os.environ)
         clock, introspection, extra = Clock(), None, None
-        if os.environ.get("GORSEFORK_INTROSPECTION") or INTROSPECTION.exists():
-            from gorsefork.life.introspection_config import BadFile, from_environment
+        if os.environ.get("GORSEFORK_INTROSPECTION") or INTROSPECTION_FILE.exists():
+            from gorsefork.life.introspection_config import InvalidIntrospectionFile, from_environment
 
-            faults = (*faults, BadFile)
+            faults = (*faults, InvalidIntrospectionFile)
             introspection = from_environment()
         if (path := operator_file(os.environ)) is not None:
             from gorsefork.life.installation import Installation
-            from gorsefork.life.operator import BadOperatorFile, at_start
-            from gorsefork.storage.database import BadState, WriteFailed
+            from gorsefork.life.operator import InvalidOperatorFile, load_at_start
+            from gorsefork.storage.database import InvalidState, WriteFailed
 
-            faults = (*faults, BadOperatorFile, BadState, WriteFailed)
-            if (given := at_start(path)) is not None:
+            faults = (*faults, InvalidOperatorFile, InvalidState, WriteFailed)
+            if (given := load_at_start(path)) is not None:
                 extra = Installation(given, config, clock)
         try:
             trio.run(serve, config, clock, introspection, extra, instruments=[clock])
--- a/gorsefork/life/unknown_records.py
+++ b/gorsefork/life/unknown_kinds.py
@@ -11,11 +11,11 @@
 
 from gorsefork.configuration.records import Record, RecordRefused, Refusal
 from gorsefork.configuration.store import RecordStore
-from gorsefork.life.keeper import RecordStorage
-from gorsefork.life.record_intake import TakeRecords
+from gorsefork.life.plan_service import RecordStorage
+from gorsefork.life.record_intake import ApplyRecords
 from gorsefork.memory.clock import Clock
 from gorsefork.memory.ports import Log
-from gorsefork.plans.changes import Stamps
+from gorsefork.plans.changes import HybridClock
 
 
 class UnknownRecords:
@@ -27,7 +27,7 @@
         self.store, self.storage, self.clock = store, storage, clock
         self.horizon, self.log = horizon, log
 
-    async def take_records(self, records: Sequence[Record]) -> list[RecordRefused | None]:
+    async def apply_records(self, records: Sequence[Record]) -> list[RecordRefused | None]:
         """Keep on disk, then in the store; for each ``None`` if it is held now.
 
         The disk takes all or none. What the store then refuses is deleted from the disk again.
@@ -52,7 +52,7 @@
     def refusal(self, record: Record) -> RecordRefused | None:
         """What can be said of a record before it is kept."""
         ahead = record.stamp - self.clock.unix_us()
-        if ahead > Stamps.MOST_AHEAD:
+        if ahead > HybridClock.MAX_AHEAD_US:
             return RecordRefused(Refusal.CLOCK_AHEAD, f"{record.kind} {record.key}")
         held = self.store.at_identity(record)
         if held is not None and held.mark() > record.mark():
@@ -73,10 +73,10 @@
 class RecordsByKind:
     """Takes each record to the owner of its kind, and those of all other kinds to ``others``."""
 
-    def __init__(self, owners: Mapping[str, TakeRecords], others: TakeRecords) -> None:
+    def __init__(self, owners: Mapping[str, ApplyRecords], others: ApplyRecords) -> None:
         self.owners, self.others = owners, others
 
-    async def take_records(self, records: Sequence[Record]) -> list[RecordRefused | None]:
+    async def apply_records(self, records: Sequence[Record]) -> list[RecordRefused | None]:
         """In the order of the records: ``None`` where one was taken."""
         results: list[RecordRefused | None] = [None] * len(records)
         places: dict[str, list[int]] = {}
--- a/gorsefork/memory/backoff.py
+++ b/gorsefork/memory/backoff.py
@@ -13,13 +13,13 @@
     """
 
     def __init__(self, first: float, most: float, rng: random.Random) -> None:
-        self.first, self.most, self.rng, self.misses = first, most, rng, 0
+        self.first, self.longest, self.rng, self.failures = first, most, rng, 0
 
-    def missed(self) -> float:
+    def next_pause(self) -> float:
         """The pause in seconds after one more failure, at most 1.5 times ``most``."""
-        pause = min(self.most, self.first * 2.0 ** min(self.misses, 30))
-        self.misses += 1
+        pause = min(self.longest, self.first * 2.0 ** min(self.failures, 30))
+        self.failures += 1
         return pause * self.rng.uniform(0.5, 1.5)
 
-    def reached(self) -> None:
-        self.misses = 0
+    def reset(self) -> None:
+        self.failures = 0
--- a/gorsefork/memory/call.py
+++ b/gorsefork/memory/call.py
@@ -9,26 +9,26 @@
 from typing import TYPE_CHECKING, Protocol
 
 from gorsefork.decisions.interface import Status
-from gorsefork.memory.flow import Flow
+from gorsefork.memory.body_stream import BodyStream
 
 if TYPE_CHECKING:
-    from gorsefork.memory.figures import Figures, Kind
+    from gorsefork.memory.metrics import EndKind, Metrics
 
 NEVER_RAN: frozenset[Status] = frozenset(("full", "connect_failed", "moot"))
 
 
 @dataclass(frozen=True, slots=True)
-class Served:
+class ServedAnswer:
     """The body that a backend made for this call, unchanged."""
 
     body: bytes
-    media: str = ""
+    content_type: str = ""
 
 
-class Sink(Protocol):
+class AnswerSink(Protocol):
     """Where a long answer goes, piece by piece."""
 
-    async def pass_on(self, piece: bytes | bytearray) -> None:
+    async def write_chunk(self, piece: bytes | bytearray) -> None:
         """As fast as the client reads. ``OSError``, ``trio.TooSlowError`` or ``trio.ClosedResourceError``
         once it reads no more; cancelled, the answer is torn."""
         ...
@@ -39,28 +39,28 @@
 
 
 @dataclass(slots=True, eq=False)
-class Long:
-    """As ``Served``, but too large to hold: its body follows through ``sink``, which the front sets."""
+class StreamedAnswer:
+    """As ``ServedAnswer``, but too large to hold: its body follows through ``sink``, which the front sets."""
 
-    media: str
+    content_type: str
     length: int | None  # in bytes; None where it is not told ahead
-    sink: Sink | None = None
+    sink: AnswerSink | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Overload:
+class OverloadAnswer:
     """An overload reply: declined, trying again is harmless. ``retry_after`` in seconds, 0: no advice."""
 
     retry_after: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Failed:
+class FailedAnswer:
     """Nothing is promised about whether it took effect."""
 
 
 @dataclass(frozen=True, slots=True)
-class Denied:
+class DeniedAnswer:
     """The front's own answer: the client may not have this (any more)."""
 
     status: int
@@ -68,14 +68,14 @@
     body: bytes = b""
 
 
-Short = Served | Overload | Failed | Denied
-Answer = Short | Long
+CompleteAnswer = ServedAnswer | OverloadAnswer | FailedAnswer | DeniedAnswer
+Answer = CompleteAnswer | StreamedAnswer
 
 
 class Permit(Protocol):
     """What a front asks of a call again just before a delegation's first byte."""
 
-    async def renew(self, delegation: Delegation) -> bool:
+    async def renew(self, delegation: BackendAttempt) -> bool:
         """Whether it may go. If not it never runs, and the call may have had its answer here."""
         ...
 
@@ -88,107 +88,111 @@
     method: str
     target: str
     body: bytes
-    trace: str
-    key: str
-    cls: int
-    plan: int
+    trace_id: str
+    idempotency_key: str
+    class_index: int
+    plan_index: int
     customer: str
     units: float
-    spread: int
-    first: int
-    came_at: int
-    ends_at: int
+    ingress_count: int
+    first_ingress: int
+    arrived_at: int
+    deadline: int
     reply: Callable[[Answer], None]
-    retry: bool = False
+    is_retry: bool = False
     permit: Permit | None = None
-    over: bool = False
-    contract: str = ""  # the plan that holds for it, where the book names one
-    settled: bool = False  # a good answer has come: its use is recorded, if this installation records any
-    flow: Flow | None = None  # its body, where that is passed on as it comes; ``body`` is empty then
-    left: int = 0  # us from its last byte on within which the client is to have its answer
-    delegations: list[Delegation] = field(default_factory=list)
-    figures: Figures | None = None  # where its end is counted
-    client_left: Callable[[], bool] = lambda: False  # asked of its connection, ahead of what is read from it
+    finished: bool = False
+    plan_name: str = ""  # the plan that holds for it, where the book names one
+    # a good answer has come: its use is recorded, if this installation records any
+    answer_accepted: bool = False
+    # its body, where that is passed on as it comes; ``body`` is empty then
+    body_stream: BodyStream | None = None
+    answer_time: int = 0  # us from its last byte on within which the client is to have its answer
+    attempts: list[BackendAttempt] = field(default_factory=list)
+    metrics: Metrics | None = None  # where its end is counted
+    # asked of its connection, ahead of what is read from it
+    client_has_left: Callable[[], bool] = lambda: False
 
     def finish(self, answer: Answer) -> bool:
         """The one way to the final answer; the first wins and all later ones are dropped."""
-        if self.over:
+        if self.finished:
             return False
-        self.over = True
-        if not isinstance(answer, Long):  # that one has its end still to come
-            self.count(
+        self.finished = True
+        if not isinstance(answer, StreamedAnswer):  # that one has its end still to come
+            self.count_end(
                 "fulfilled"
-                if isinstance(answer, Served)
+                if isinstance(answer, ServedAnswer)
                 else "throttled"
-                if isinstance(answer, Overload)
+                if isinstance(answer, OverloadAnswer)
                 else "faulted"
             )
         self.reply(answer)
         return True
 
-    def uploaded(self, now: int) -> None:
+    def upload_finished(self, now: int) -> None:
         """The last byte of a body has come that was passed on: its time counts from here."""
-        self.ends_at = now + self.left
-        for delegation in self.delegations:
+        self.deadline = now + self.answer_time
+        for delegation in self.attempts:
             if not delegation.ended:
-                delegation.ends_at = self.ends_at
-                if delegation.due_anew is not None:
-                    delegation.due_anew()
+                delegation.deadline = self.deadline
+                if delegation.on_deadline_change is not None:
+                    delegation.on_deadline_change()
 
-    def count(self, kind: Kind) -> None:
-        if self.figures is not None:
-            self.figures.ended[kind][self.cls] += 1
+    def count_end(self, kind: EndKind) -> None:
+        if self.metrics is not None:
+            self.metrics.ended[kind][self.class_index] += 1
 
     def abandon(self) -> bool:
         """The client has gone: nobody is left to answer."""
-        was_open, self.over = not self.over, True
+        was_open, self.finished = not self.finished, True
         if was_open:
-            self.count("gone")
+            self.count_end("gone")
         return was_open
 
-    def open_delegations(self) -> int:
-        return sum(not d.ended for d in self.delegations)
+    def open_attempts(self) -> int:
+        return sum(not d.ended for d in self.attempts)
 
     def may_have_run(self) -> bool:
-        return any(d.written if not d.ended else d.may_have_run for d in self.delegations)
+        return any(d.fully_sent if not d.ended else d.may_have_run for d in self.attempts)
 
 
 @dataclass(slots=True, eq=False)
-class Delegation:
+class BackendAttempt:
     """``written``: its last byte has gone out, so that from here on it may have run."""
 
     call: Call
     number: int
-    host: str
+    backend: str
     sent_at: int
-    ends_at: int
-    begin_by: float = math.inf  # us: from then on it is not to be begun
-    written: bool = False
+    deadline: int
+    start_before: float = math.inf  # us: from then on it is not to be begun
+    fully_sent: bool = False
     ended: bool = False
     may_have_run: bool = False
-    called_off: bool = False
-    stop: Callable[[], None] | None = None  # set by whoever carries it out
-    due_anew: Callable[[], None] | None = None  # the same, for another ``ends_at``
-    due_never: Callable[[], None] = lambda: None  # its answer is passed on: no end of its time cuts it off
+    cancelled: bool = False
+    on_cancel: Callable[[], None] | None = None  # set by whoever carries it out
+    on_deadline_change: Callable[[], None] | None = None  # the same, for another ``deadline``
+    # its answer is passed on: no end of its time cuts it off
+    clear_deadline: Callable[[], None] = lambda: None
 
-    def wrote(self) -> None:
+    def mark_sent(self) -> None:
         """Its last byte has left."""
-        self.written = True
-        if self.call.figures is not None:
-            self.call.figures.relayed[self.call.cls] += 1
+        self.fully_sent = True
+        if self.call.metrics is not None:
+            self.call.metrics.sent_to_backends[self.call.class_index] += 1
 
-    def call_off(self) -> None:
-        self.called_off = True
-        if self.stop is not None:
-            self.stop()
+    def cancel(self) -> None:
+        self.cancelled = True
+        if self.on_cancel is not None:
+            self.on_cancel()
 
 
 @dataclass(frozen=True, slots=True)
-class Ending:
+class AttemptResult:
     """How a delegation ended, as its connection saw it."""
 
     status: Status
     body: bytes = b""
-    media: str = ""
-    billed: float = 0.0
-    passed: bool = False  # the module was told when it began to pass
+    content_type: str = ""
+    settled_units: float = 0.0
+    already_reported: bool = False  # the module was told when it began to pass
--- a/gorsefork/memory/clock.py
+++ b/gorsefork/memory/clock.py
@@ -9,18 +9,18 @@
 import trio
 
 SECOND = 1_000_000
-HELD_FROM = 50_000  # us beyond which a turn of the loop, or a late end of its wait, is told
-TELL_EVERY = SECOND  # us between two times that it is told
-LONGEST_HOLD = 150_000  # us for which a process may be held up
-PROMPT = 1_000  # us within which a wait for input ends that found some already there
-OVERSLEPT = 10_000  # us by which a wait ends too late where the process was not scheduled
+MIN_REPORTED_STALL_US = 50_000  # us beyond which a turn of the loop, or a late end of its wait, is told
+STALL_REPORT_INTERVAL_US = SECOND  # us between two times that it is told
+MAX_STALL_US = 150_000  # us for which a process may be held up
+IMMEDIATE_WAIT_US = 1_000  # us within which a wait for input ends that found some already there
+LATE_WAKEUP_US = 10_000  # us by which a wait ends too late where the process was not scheduled
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class LoopStalls:
     """How often and how long this process was held up since this was told last, in microseconds."""
 
-    times: int
+    count: int
     longest_turn: int  # from the end of a wait for input to the begin of the next
     longest_oversleep: int  # by which a wait for input ended later than a timer was due
 
@@ -38,57 +38,57 @@
         # reckons from its time: so the module is given Unix time, by an offset that is fixed at the start.
         self.unix_offset = time.time_ns() // 1000 - self.now
         self.trio_offset: float | None = None  # both clocks count the same seconds, from different origins
-        self.waits_since = self.now  # when this turn's wait for input began
+        self.wait_began_at = self.now  # when this turn's wait for input began
         self.turn_began_late = False
-        self.earliest = self.now  # what this turn's wait has found came no sooner than this
-        self.tell_held: Callable[[Held], None] | None = None
-        self.held_times = self.longest_turn = self.longest_oversleep = 0
-        self.told_at = self.now - TELL_EVERY
+        self.earliest_input_at = self.now  # what this turn's wait has found came no sooner than this
+        self.on_stalls: Callable[[LoopStalls], None] | None = None
+        self.stall_count = self.longest_turn = self.longest_oversleep = 0
+        self.stalls_reported_at = self.now - STALL_REPORT_INTERVAL_US
 
     def before_io_wait(self, timeout: float) -> None:
-        self.waits_since = monotonic_us()
+        self.wait_began_at = monotonic_us()
 
     def after_io_wait(self, timeout: float) -> None:
         last, self.now = self.now, monotonic_us()
-        turn, waited = self.waits_since - last, self.now - self.waits_since
+        turn, waited = self.wait_began_at - last, self.now - self.wait_began_at
         oversleep = waited - round(timeout * SECOND)
-        self.earliest = self.earliest_arrival(last, waited, oversleep)
-        self.turn_began_late = max(turn, oversleep) >= OVERSLEPT
-        if max(turn, oversleep) >= HELD_FROM:
-            self.was_held(turn, oversleep)
-        if self.held_times and self.now >= self.told_at + TELL_EVERY:
-            self.tell()
+        self.earliest_input_at = self.earliest_arrival(last, waited, oversleep)
+        self.turn_began_late = max(turn, oversleep) >= LATE_WAKEUP_US
+        if max(turn, oversleep) >= MIN_REPORTED_STALL_US:
+            self.record_stall(turn, oversleep)
+        if self.stall_count and self.now >= self.stalls_reported_at + STALL_REPORT_INTERVAL_US:
+            self.report_stalls()
 
     def earliest_arrival(self, last: int, waited: int, oversleep: int) -> int:
         """Since when the input may have been there that this wait has found. ``last``: the end of the wait
         before; nothing was there then. A process that is held up reads late, and does not see by how much."""
-        if waited <= PROMPT:
+        if waited <= IMMEDIATE_WAIT_US:
             return last
-        if oversleep >= OVERSLEPT:
-            return min(self.now - oversleep, max(last, self.now - LONGEST_HOLD))
+        if oversleep >= LATE_WAKEUP_US:
+            return min(self.now - oversleep, max(last, self.now - MAX_STALL_US))
         return self.now
 
-    def late(self) -> bool:
+    def was_stalled(self) -> bool:
         """Whether this process was held up just before this turn or in it: much may wait to be read."""
-        return self.turn_began_late or monotonic_us() - self.now >= OVERSLEPT
+        return self.turn_began_late or monotonic_us() - self.now >= LATE_WAKEUP_US
 
-    def was_held(self, turn: int, oversleep: int) -> None:
-        self.held_times += 1
+    def record_stall(self, turn: int, oversleep: int) -> None:
+        self.stall_count += 1
         self.longest_turn = max(self.longest_turn, turn)
         self.longest_oversleep = max(self.longest_oversleep, oversleep)
 
-    def tell(self) -> None:
-        held = Held(self.held_times, self.longest_turn, self.longest_oversleep)
-        self.held_times = self.longest_turn = self.longest_oversleep = 0
-        self.told_at = self.now
-        if self.tell_held is not None:
-            self.tell_held(held)
+    def report_stalls(self) -> None:
+        held = LoopStalls(self.stall_count, self.longest_turn, self.longest_oversleep)
+        self.stall_count = self.longest_turn = self.longest_oversleep = 0
+        self.stalls_reported_at = self.now
+        if self.on_stalls is not None:
+            self.on_stalls(held)
 
     def unix(self, at: int) -> float:
         """A time of this clock as Unix seconds."""
         return (at + self.unix_offset) / SECOND
 
-    def at(self, unix: float) -> float:
+    def from_unix_s(self, unix: float) -> float:
         """Unix seconds as a time of this clock; without end it stays so."""
         return unix * SECOND - self.unix_offset
 
--- a/gorsefork/memory/mailbox.py
+++ b/gorsefork/memory/mailbox.py
@@ -16,21 +16,21 @@
 
     def __init__(self, most: int) -> None:
         self.messages: deque[T] = deque()
-        self.most = most
-        self.bell = trio.Event()
+        self.capacity = most
+        self.not_empty = trio.Event()
 
     def put(self, message: T) -> bool:
-        if len(self.messages) >= self.most:
+        if len(self.messages) >= self.capacity:
             return False
         self.messages.append(message)
-        self.bell.set()
+        self.not_empty.set()
         return True
 
     def drain(self) -> list[T]:
         messages = list(self.messages)
         self.messages.clear()
-        if self.bell.is_set():
-            self.bell = trio.Event()
+        if self.not_empty.is_set():
+            self.not_empty = trio.Event()
         return messages
 
     async def wait(self, deadline: float) -> None:
@@ -38,7 +38,7 @@
         if self.messages:
             return
         if deadline == math.inf:
-            await self.bell.wait()
+            await self.not_empty.wait()
         else:
             with trio.CancelScope(deadline=deadline):
-                await self.bell.wait()
+                await self.not_empty.wait()
--- a/gorsefork/memory/figures.py
+++ b/gorsefork/memory/metrics.py
@@ -5,11 +5,11 @@
 from collections.abc import Sequence
 from typing import Literal
 
-Kind = Literal["fulfilled", "throttled", "faulted", "gone"]
-PREFIX = "edge_proxy"
+EndKind = Literal["fulfilled", "throttled", "faulted", "gone"]
+METRIC_PREFIX = "edge_proxy"
 
 
-class Figures:
+class Metrics:
     """Counts since the start of this process, one list a kind with a place for each class.
 
     taken = fulfilled + throttled + faulted + gone + open, at every moment.
@@ -17,29 +17,30 @@
 
     def __init__(self, classes: Sequence[str]) -> None:
         self.classes = tuple(classes)
-        self.taken, self.relayed = [0] * len(classes), [0] * len(classes)
-        self.ended: dict[Kind, list[int]] = {
+        self.accepted, self.sent_to_backends = [0] * len(classes), [0] * len(classes)
+        self.ended: dict[EndKind, list[int]] = {
             kind: [0] * len(classes) for kind in ("fulfilled", "throttled", "faulted", "gone")
         }
 
-    def open(self) -> int:
+    def open_requests(self) -> int:
         """Requests taken and not ended."""
-        return sum(self.taken) - sum(map(sum, self.ended.values()))
+        return sum(self.accepted) - sum(map(sum, self.ended.values()))
 
     def lines(self, entries: int, avoided: int) -> list[str]:
         """One line a figure. ``entries``: backends in the list; ``avoided``: those that get nothing now."""
         lines = [
-            f"{PREFIX}.{kind}.{name}={count}"
+            f"{METRIC_PREFIX}.{kind}.{name}={count}"
             for kind in ("fulfilled", "throttled", "faulted")
             for name, count in zip(self.classes, self.ended[kind], strict=True)
         ]
         lines += [
-            f"{PREFIX}.relayed.{name}={count}" for name, count in zip(self.classes, self.relayed, strict=True)
+            f"{METRIC_PREFIX}.relayed.{name}={count}"
+            for name, count in zip(self.classes, self.sent_to_backends, strict=True)
         ]
         return [
             *lines,
-            f"{PREFIX}.relayed={sum(self.relayed)}",
-            f"{PREFIX}.open_requests={self.open()}",
-            f"{PREFIX}.registry_entries={entries}",
-            f"{PREFIX}.out_of_rotation={avoided}",
+            f"{METRIC_PREFIX}.relayed={sum(self.sent_to_backends)}",
+            f"{METRIC_PREFIX}.open_requests={self.open_requests()}",
+            f"{METRIC_PREFIX}.registry_entries={entries}",
+            f"{METRIC_PREFIX}.out_of_rotation={avoided}",
         ]
--- a/gorsefork/memory/ports.py
+++ b/gorsefork/memory/ports.py
@@ -6,13 +6,13 @@
 from typing import Protocol
 
 from gorsefork.decisions import interface as i
-from gorsefork.memory.call import Call, Delegation
+from gorsefork.memory.call import BackendAttempt, Call
 
 
 class Backends(Protocol):
     """The backends."""
 
-    def delegate(self, delegation: Delegation) -> None: ...
+    def start_attempt(self, delegation: BackendAttempt) -> None: ...
     def close_idle(self, host: str) -> None: ...
 
 
@@ -25,16 +25,16 @@
 class Peers(Protocol):
     """The other ingresses of this site; ``None`` means all of them."""
 
-    def tell(self, peer: int | None, data: bytes) -> None: ...
+    def send(self, peer: int | None, data: bytes) -> None: ...
 
 
-class Terms(Protocol):
+class PlanOverrides(Protocol):
     """The plan book: what holds for a customer at a time, in microseconds of Unix time."""
 
-    def terms(self, customer: str, place: int, at: int) -> i.Plan | None: ...
+    def plan_for(self, customer: str, place: int, at: int) -> i.Plan | None: ...
 
 
-class Uses(Protocol):
+class UsageRecorder(Protocol):
     """Whoever records use. ``then`` is called once, later: whether it is kept."""
 
     def record(self, call: Call, micro: int, then: Callable[[bool], None]) -> None: ...
--- a/gorsefork/memory/timers.py
+++ b/gorsefork/memory/timers.py
@@ -11,7 +11,7 @@
     longer among ``calls`` is dropped unheard: most of a call's timers outlive it, only to wake the loop."""
 
     def __init__(self, calls: Container[str]) -> None:
-        self.calls = calls
+        self.open_calls = calls
         self.heap: list[tuple[int, int, str, str]] = []
         self.serial = 0
 
@@ -20,7 +20,7 @@
         heapq.heappush(self.heap, (due, self.serial, token, call))
 
     def next_due(self) -> int | None:
-        while self.heap and self.heap[0][3] and self.heap[0][3] not in self.calls:
+        while self.heap and self.heap[0][3] and self.heap[0][3] not in self.open_calls:
             heapq.heappop(self.heap)
         return self.heap[0][0] if self.heap else None
 
--- a/gorsefork/plans/bodies.py
+++ b/gorsefork/plans/bodies.py
@@ -22,14 +22,14 @@
     Rollback,
     SetPlan,
     Text,
-    When,
+    UnixMicroseconds,
 )
 
 RequestKey = Annotated[str, Meta(max_length=128)]
-CUSTOMER = re.compile("[0-9a-f]{16}")
+CUSTOMER_PATTERN = re.compile("[0-9a-f]{16}")
 
 
-class Unreadable(ValueError):
+class UnreadableBody(ValueError):
     """A body that is no change to this version of the program."""
 
 
@@ -37,8 +37,8 @@
     note: Text
     key: RequestKey
     plan: Name
-    effective: When
-    until: When
+    effective: UnixMicroseconds
+    until: UnixMicroseconds
 
     def act(self, customer: str) -> Act:
         return SetPlan(customer, self.plan, self.effective, self.until)
@@ -53,8 +53,8 @@
     key: RequestKey
     rate: Amount
     burst: Amount
-    starts: When
-    ends: When
+    starts: UnixMicroseconds
+    ends: UnixMicroseconds
 
     def act(self, customer: str) -> Act:
         return Reserve(customer, self.rate, self.burst, self.starts, self.ends)
@@ -67,7 +67,7 @@
     note: Text
     key: RequestKey
     number: Name
-    effective: When
+    effective: UnixMicroseconds
 
     def act(self, customer: str) -> Act:
         return Cancel(customer, self.number, self.effective)
@@ -80,7 +80,7 @@
     note: Text
     key: RequestKey
     to: Name
-    effective: When
+    effective: UnixMicroseconds
 
     def act(self, customer: str) -> Act:
         return Rollback(self.to, self.effective, customer or None)
@@ -94,7 +94,7 @@
 DECODER = msgspec.msgpack.Decoder(Body)
 
 
-def packed(change: Change) -> bytes:
+def encode_body(change: Change) -> bytes:
     """The body of a change."""
     act, note, key = change.act, change.note, change.key
     body: Body
@@ -109,18 +109,21 @@
     return ENCODER.encode(body)
 
 
-def read(customer: str, body: bytes) -> Body:
-    """What is in a body; ``customer`` is empty for a rollback of all. ``Unreadable`` if it is no change."""
+def decode_body(customer: str, body: bytes) -> Body:
+    """What is in a body; ``customer`` is empty for a rollback of all. ``UnreadableBody`` if it is no
+    change."""
     try:
         found = DECODER.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise Unreadable(str(error)) from None
-    if CUSTOMER.fullmatch(customer) is None and not (customer == "" and isinstance(found, RollbackBody)):
-        raise Unreadable(f"{customer!r} is no customer")
+        raise UnreadableBody(str(error)) from None
+    if CUSTOMER_PATTERN.fullmatch(customer) is None and not (
+        customer == "" and isinstance(found, RollbackBody)
+    ):
+        raise UnreadableBody(f"{customer!r} is no customer")
     return found
 
 
-def unpacked(customer: str, stamp: int, origin: str, author: str, body: bytes) -> Change:
-    """The change of a record. ``Unreadable`` if it is none."""
-    found = read(customer, body)
+def decode_change(customer: str, stamp: int, origin: str, author: str, body: bytes) -> Change:
+    """The change of a record. ``UnreadableBody`` if it is none."""
+    found = decode_body(customer, body)
     return Change(stamp, origin, found.act(customer), author, found.note, found.key)
