--- a/tests/test_transient_faults.py
+++ b/tests/test_transient_faults.py
@@ -23,9 +23,9 @@
 
 from gorsefork.life.handover import Handover
 from gorsefork.memory.clock import Clock
-from gorsefork.memory.registry import START_TOLD_WITHIN, Host, News, Registry
-from gorsefork.wire.backends import REST_FOR
-from gorsefork.wire.stream import LOCAL_FAULTS, Stream, listening_socket
+from gorsefork.memory.registry import MAX_START_REPORT_DELAY_US, RegisteredBackend, Registry, RegistryUpdate
+from gorsefork.wire.backends import MIN_IDLE_US
+from gorsefork.wire.stream import LOCAL_ERRORS, Stream, listening_socket
 
 SHORT_OF_SOMETHING = (errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM)
 BROKEN = (errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.EPIPE)
@@ -59,7 +59,7 @@
     ) -> None:
         async def then(world: World) -> None:
             acceptor = world.ingresses[0].acceptors[0]
-            acceptor.cease()
+            acceptor.stop_accepting()
             await trio.testing.wait_all_tasks_blocked(0.01)
             await world.play("c1 send GET /look")
             acceptor.closing = True
@@ -75,8 +75,8 @@
         async def then(world: World) -> None:
             acceptor = world.ingresses[0].acceptors[0]
             await world.play("c1 send GET /look X-Trace-Id=one\nbox expect GET /look")
-            acceptor.most = 1
-            acceptor.cease()
+            acceptor.max_connections = 1
+            acceptor.stop_accepting()
             await trio.testing.wait_all_tasks_blocked(0.01)
             await world.play("c2 send GET /look X-Trace-Id=two")
             acceptor.closing = True
@@ -92,7 +92,7 @@
     def test_accept_that_fails_for_a_moment_leaves_nobody_in_the_backlog(self, number: int) -> None:
         async def then(world: World) -> None:
             acceptor = world.ingresses[0].acceptors[0]
-            acceptor.cease()
+            acceptor.stop_accepting()
             await trio.testing.wait_all_tasks_blocked(0.01)
             clients = [socket.create_connection(("127.0.0.1", acceptor.port)) for _ in range(5)]
             with mock.patch.object(acceptor, "sock", FailingListener(acceptor.sock, number, 5)):
@@ -106,7 +106,7 @@
     def test_a_connection_that_breaks_as_it_is_accepted_ends_alone(self) -> None:
         async def then(world: World) -> None:
             acceptor = world.ingresses[0].acceptors[0]
-            acceptor.cease()
+            acceptor.stop_accepting()
             await trio.testing.wait_all_tasks_blocked(0.01)
             clients = [socket.create_connection(("127.0.0.1", acceptor.port)) for _ in range(2)]
             with failing_once(socket.socket, "setsockopt", raising(errno.EINVAL)):
@@ -190,11 +190,15 @@
     """Each is no fault of the backend: nothing counts against it, no retry is spent, and the call goes on."""
 
     def no_harm(self, world: World) -> None:
-        gate = world.ingresses[0].decider.gate
-        server = gate.fleet.servers["s-1"]
-        assert (server.unmet, server.barred_until <= gate.now, gate.fleet.barred) == (0, True, 0.0)
-
-    @pytest.mark.parametrize("number", sorted(LOCAL_FAULTS))
+        gate = world.ingresses[0].decision_actor.engine
+        server = gate.selector.backends["s-1"]
+        assert (
+            server.failed_connects,
+            server.avoided_until <= gate.now,
+            gate.selector.connect_failure_rate,
+        ) == (0, True, 0.0)
+
+    @pytest.mark.parametrize("number", sorted(LOCAL_ERRORS))
     def test_connect_fails_for_a_moment(self, number: int) -> None:
         async def then(world: World) -> None:
             with failing_once(socket.socket, "connect_ex", lambda: number, 3, to_box(world)):
@@ -240,9 +244,9 @@
         async def then(world: World) -> None:
             pool = world.ingresses[0].pool
             await world.play("c1 send GET /look X-Trace-Id=one\nbox expect GET /look")
-            pool.most_links = 1
+            pool.max_connections = 1
             await world.play("c2 send GET /look X-Trace-Id=two")
-            await until(lambda: len(world.ingresses[0].decider.calls) == 2)
+            await until(lambda: len(world.ingresses[0].decision_actor.calls) == 2)
             await trio.testing.wait_all_tasks_blocked(
                 0.003
             )  # less than from one look for a place to the next
@@ -261,7 +265,7 @@
         async def then(world: World) -> None:
             with failing_once(socket.socket, "connect_ex", lambda: number, 1, to_box(world)):
                 await world.play("c1 send GET /look\nbox expect GET /look\nbox send 200 | one\nc1 expect 200")
-            assert world.ingresses[0].decider.gate.fleet.barred > 0.0
+            assert world.ingresses[0].decision_actor.engine.selector.connect_failure_rate > 0.0
 
         scenario("", then=then)
 
@@ -321,7 +325,7 @@
             (backend,) = world.ingresses[0].pool.backends.values()
             for _ in range(25):  # the loop runs what is ready at once in an order of its own
                 await until(lambda: bool(backend.idle))
-                await until(lambda: backend.idle[0].idle_since + REST_FOR <= world.clock.now)
+                await until(lambda: backend.idle[0].idle_since + MIN_IDLE_US <= world.clock.now)
                 drain = backend.mailbox.drain
 
                 def leaves(drain: Callable[[], Any] = drain) -> Any:
@@ -339,7 +343,7 @@
 
     def test_an_answer_that_is_there_goes_ahead_of_its_call_s_end(self) -> None:
         async def then(world: World) -> None:
-            decider = world.ingresses[0].decider
+            decider = world.ingresses[0].decision_actor
             for _ in range(25):
                 await world.play("c1 send GET /look X-Expires-In-Ms=100\nbox expect GET /look")
                 box = world.servers["box"].last
@@ -355,41 +359,46 @@
 class TestStartsUnderAStep:
     """A backend's start is told in Unix time; this machine's wall clock, or its own, may be an hour off."""
 
-    def held(self, host: Host, since: int, now: int) -> int:
-        told: list[News] = []
+    def held(self, host: RegisteredBackend, since: int, now: int) -> int:
+        told: list[RegistryUpdate] = []
         registry = Registry(told.append, lambda _: None, lambda: now)
-        registry.apply(News("cached", 1, (Host("old", "127.0.0.1:1", "ready", 5),)))
-        registry.apply(News("delta", 2, (host,), since))
-        return told[-1].hosts[0].started
+        registry.apply(RegistryUpdate("cached", 1, (RegisteredBackend("old", "127.0.0.1:1", "ready", 5),)))
+        registry.apply(RegistryUpdate("delta", 2, (host,), since))
+        return told[-1].backends[0].started_at
 
     @pytest.mark.parametrize("name", ["old", "new"])
     def test_one_that_has_just_started_is_cold_whatever_the_clock_says(self, name: str) -> None:
         now = 2 * HOUR
-        host = Host(name, "127.0.0.1:1", "ready", now - HOUR - 100_000)  # by a clock that is an hour ahead
-        assert self.held(host, now - 300_000, now) == now - 300_000 - START_TOLD_WITHIN
+        # by a clock that is an hour ahead
+        host = RegisteredBackend(name, "127.0.0.1:1", "ready", now - HOUR - 100_000)
+        assert self.held(host, now - 300_000, now) == now - 300_000 - MAX_START_REPORT_DELAY_US
 
     def test_a_start_ahead_of_now_is_no_reason_to_take_it_for_cold_for_an_hour(self) -> None:
         now = 2 * HOUR
-        assert self.held(Host("new", "127.0.0.1:1", "ready", now + HOUR), now - 300_000, now) == now
+        assert (
+            self.held(RegisteredBackend("new", "127.0.0.1:1", "ready", now + HOUR), now - 300_000, now) == now
+        )
 
     def test_a_start_that_can_be_as_told_holds_as_told(self) -> None:
         now = 2 * HOUR
         start = now - 500_000
-        assert self.held(Host("new", "127.0.0.1:1", "ready", start), now - 300_000, now) == start
+        assert self.held(RegisteredBackend("new", "127.0.0.1:1", "ready", start), now - 300_000, now) == start
 
     def test_after_an_outage_of_discovery_a_start_within_it_holds_as_told(self) -> None:
         now = 2 * HOUR
         start = now - 20_000_000
-        assert self.held(Host("new", "127.0.0.1:1", "ready", start), now - 30_000_000, now) == start
+        assert (
+            self.held(RegisteredBackend("new", "127.0.0.1:1", "ready", start), now - 30_000_000, now) == start
+        )
 
     def test_one_that_is_told_again_keeps_its_start(self) -> None:
-        told: list[News] = []
+        told: list[RegistryUpdate] = []
         times = iter((2 * HOUR, 2 * HOUR + 9_000_000))
         registry = Registry(told.append, lambda _: None, lambda: next(times))
-        host = Host("new", "127.0.0.1:1", "ready", HOUR)
-        registry.apply(News("delta", 2, (host,), 2 * HOUR))
-        registry.apply(News("full", 3, (host,), 2 * HOUR + 8_000_000))
-        assert [each.hosts[0].started for each in told] == [2 * HOUR - START_TOLD_WITHIN] * 2
+        host = RegisteredBackend("new", "127.0.0.1:1", "ready", HOUR)
+        registry.apply(RegistryUpdate("delta", 2, (host,), 2 * HOUR))
+        registry.apply(RegistryUpdate("full", 3, (host,), 2 * HOUR + 8_000_000))
+        assert [each.backends[0].started_at for each in told] == [2 * HOUR - MAX_START_REPORT_DELAY_US] * 2
 
 
 class TestHandoverUnderAStep:
@@ -402,18 +411,20 @@
         clock.unix_offset += step
         registry = Registry(lambda _: None, lambda _: None)
         started = clock.from_unix_ms(before // 1000)
-        registry.apply(News("cached", 1, (Host("old", "127.0.0.1:1", "ready", started),)))
+        registry.apply(
+            RegistryUpdate("cached", 1, (RegisteredBackend("old", "127.0.0.1:1", "ready", started),))
+        )
         handover = Handover.__new__(Handover)
         handover.ingress = SimpleNamespace(clock=clock, registry=registry, log=lambda *_, **__: None)
-        handover.keep_clock(before)
+        handover.adopt_clock(before)
         assert clock.unix_offset == (before if kept else before + step)
-        assert registry.hosts["old"].started == clock.from_unix_ms(before // 1000)
+        assert registry.backends["old"].started_at == clock.from_unix_ms(before // 1000)
 
     @pytest.mark.parametrize("nonsense", [None, "soon", 1.5, []])
     def test_one_before_that_does_not_tell_its_time_changes_nothing(self, nonsense: object) -> None:
         handover = Handover.__new__(Handover)
         handover.ingress = SimpleNamespace(clock=SimpleNamespace(unix_offset=5))
-        handover.keep_clock(nonsense)
+        handover.adopt_clock(nonsense)
         assert handover.ingress.clock.unix_offset == 5
 
 
--- a/tests/test_unknown_records.py
+++ b/tests/test_unknown_records.py
@@ -12,10 +12,10 @@
 from gorsefork.configuration.messages import as_records
 from gorsefork.configuration.records import Record, RecordRefused, Refusal
 from gorsefork.configuration.store import Limits, RecordStore
-from gorsefork.life.plan_records import KIND, load_book, record_of
+from gorsefork.life.plan_records import PLAN_KIND, load_book, record_of
 from gorsefork.life.record_intake import RecordIntake
-from gorsefork.life.unknown_records import RecordsByKind, UnknownRecords
-from gorsefork.plans.changes import SetPlan, Stamps
+from gorsefork.life.unknown_kinds import RecordsByKind, UnknownRecords
+from gorsefork.plans.changes import HybridClock, SetPlan
 from gorsefork.storage.database import Database
 from gorsefork.storage.records import DurableRecords
 
@@ -37,7 +37,7 @@
         self.unknown = UnknownRecords(self.store, self.disk, FixedClock(), lambda: 7, log)
 
     async def take(self, *records: Record) -> list[Refusal | None]:
-        found = await self.unknown.take_records(records)
+        found = await self.unknown.apply_records(records)
         return [None if refused is None else refused.refusal for refused in found]
 
 
@@ -71,7 +71,7 @@
     async def main() -> None:
         taking = Taking()
         lesser, greater = sorted([route(1, b"a"), route(1, b"b")], key=Record.mark)
-        ahead = route(2, stamp=NOW + Stamps.MOST_AHEAD + 1)
+        ahead = route(2, stamp=NOW + HybridClock.MAX_AHEAD_US + 1)
         assert await taking.take(greater) == [None]
         assert await taking.take(lesser, ahead, route(3)) == [
             Refusal.CONTRADICTION,
@@ -109,12 +109,12 @@
             return [RecordRefused(Refusal.UNREADABLE) for _ in records]
 
         taking = Taking()
-        by_kind = RecordsByKind({KIND: take_plans}, taking.unknown.take_records)
-        intake = RecordIntake(taking.store, by_kind.take_records)
+        by_kind = RecordsByKind({PLAN_KIND: take_plans}, taking.unknown.apply_records)
+        intake = RecordIntake(taking.store, by_kind.apply_records)
         plan = record_of(change(NOW, SetPlan(A, "large", 1)))
         new = await intake.take([as_records([route(1), plan, route(2)], 0)])
         assert new == [route(1), route(2)] and plans == [plan]
-        refused = intake.judged([plan])[0]
+        refused = intake.refusals_of([plan])[0]
         assert refused is not None and refused.refusal is Refusal.UNREADABLE
 
     run(main)
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -11,8 +11,8 @@
 import trio.testing
 
 from gorsefork.memory.clock import Clock
-from gorsefork.memory.registry import Host, News, Registry
-from gorsefork.wire.discovery import BadList, DiscoveryWatch
+from gorsefork.memory.registry import RegisteredBackend, Registry, RegistryUpdate
+from gorsefork.wire.discovery import DiscoveryClient, InvalidBackendList
 
 TOLD_WITHIN = 6.0  # s, the operators' term
 RETURNED_WITHIN = 0.25  # s from an agent's return, which counts at once: what a drain allows
@@ -50,10 +50,10 @@
         await trio.sleep(0.001)
         if not self.reachable():
             if self.how == "refuses":
-                raise BadList("discovery answered 503")
+                raise InvalidBackendList("discovery answered 503")
             await trio.sleep_forever()
         if self.rng.random() < self.turns_away and began < self.known_at():
-            raise BadList("discovery answered 503")
+            raise InvalidBackendList("discovery answered 503")
         while True:
             now = trio.current_time()
             if began < self.away <= now or began < self.silent <= now or not self.reachable():
@@ -69,14 +69,14 @@
 
 def heard_at(seed: int, fleet: int) -> tuple[Discovery, float]:
     registry = Registry(lambda news: None, lambda host: None)
-    registry.apply(News("cached", 1, (Host("s-1", "127.0.0.1:1", "ready"),)))
+    registry.apply(RegistryUpdate("cached", 1, (RegisteredBackend("s-1", "127.0.0.1:1", "ready"),)))
     discovery, heard = Discovery(random.Random(seed), not fleet), []
 
     async def main() -> None:
-        watch = DiscoveryWatch("", registry, Clock(), 1, random.Random(seed), fleet)
+        watch = DiscoveryClient("", registry, Clock(), 1, random.Random(seed), fleet)
         with (
             mock.patch("gorsefork.wire.discovery.connect", discovery.connect),
-            mock.patch.object(watch, "ask", discovery.ask),
+            mock.patch.object(watch, "call", discovery.ask),
             trio.move_on_after(80),
         ):
             async with trio.open_nursery() as nursery:
