--- a/gorsefork/memory/arrival.py
+++ b/gorsefork/memory/arrival.py
@@ -1,30 +1,34 @@
-"""Since when the bytes of one socket may have been there by the time that they are read."""
+"""Estimates how long the bytes read from a socket may have waited in its receive buffer."""
 
 from __future__ import annotations
 
 from gorsefork.memory.clock import Clock
 
-MAX_UNREAD_US = 300_000  # us; nobody is taken to have waited for longer than this before it is read
+MAX_UNREAD_US = 300_000  # input is never assumed to have waited unread for longer than this
 
 
 class ArrivalTime:
-    """``emptied_at``: until then nothing was left to read."""
+    """Tracks the earliest time at which the unread bytes of one socket may have arrived.
 
-    def __init__(self, clock: Clock, emptied_at: int) -> None:
+    ``drained_at`` is the time, in microseconds on ``clock``, up to which the socket is known to have held
+    nothing to read.
+    """
+
+    def __init__(self, clock: Clock, drained_at: int) -> None:
         self.clock = clock
-        self.drained_at = self.waiting_since = emptied_at
+        self.drained_at = self.waiting_since = drained_at
 
     def begin_wait(self) -> None:
-        """The reader begins to wait for input."""
+        """Record that the reader begins to wait for input now."""
         self.waiting_since = self.clock.now
 
     def earliest(self) -> int:
-        """The time, in microseconds, before which nothing of what can be read now had come."""
-        # The first wait of the loop since ours began finds also what came before ours began.
+        """Return the earliest time, in microseconds, at which the bytes readable now may have arrived."""
+        # The first wait of the loop after this reader began to wait also finds input that arrived earlier.
         waited_through = self.clock.earliest_input_at > self.waiting_since
-        came = self.clock.earliest_input_at if waited_through else self.drained_at
-        return max(came, self.clock.now - MAX_UNREAD_US)
+        earliest = self.clock.earliest_input_at if waited_through else self.drained_at
+        return max(earliest, self.clock.now - MAX_UNREAD_US)
 
     def mark_drained(self) -> None:
-        """All that was there has been read."""
+        """Record that everything available has been read."""
         self.drained_at = self.clock.now
--- a/gorsefork/memory/backoff.py
+++ b/gorsefork/memory/backoff.py
@@ -1,4 +1,4 @@
-"""How long to wait before a call that failed is made again."""
+"""Randomized exponential backoff between the repeats of a failed call."""
 
 from __future__ import annotations
 
@@ -6,20 +6,21 @@
 
 
 class Backoff:
-    """Pauses that double from ``first`` to ``most`` seconds, each by chance within a half of it either way.
+    """Pauses that double from ``first_s`` to ``max_s`` seconds, each multiplied by a random 0.5 to 1.5.
 
-    Guards against a service that is overbooked and stays so: where a whole fleet asks again at once, or all
-    at the same moments, it is kept busy turning them away.
+    Without the growing pauses and the jitter, a whole fleet that repeats its calls immediately, or in step,
+    keeps an overloaded service overloaded: the service then spends its time on refusing calls.
     """
 
-    def __init__(self, first: float, most: float, rng: random.Random) -> None:
-        self.first, self.longest, self.rng, self.failures = first, most, rng, 0
+    def __init__(self, first_s: float, max_s: float, rng: random.Random) -> None:
+        self.first_s, self.max_s, self.rng, self.failures = first_s, max_s, rng, 0
 
     def next_pause(self) -> float:
-        """The pause in seconds after one more failure, at most 1.5 times ``most``."""
-        pause = min(self.longest, self.first * 2.0 ** min(self.failures, 30))
+        """Count one more failure and return the pause after it, in seconds: at most 1.5 times ``max_s``."""
+        pause = min(self.max_s, self.first_s * 2.0 ** min(self.failures, 30))
         self.failures += 1
         return pause * self.rng.uniform(0.5, 1.5)
 
     def reset(self) -> None:
+        """Start again at the shortest pause, after a success."""
         self.failures = 0
--- a/gorsefork/memory/body_stream.py
+++ b/gorsefork/memory/body_stream.py
@@ -1,4 +1,4 @@
-"""A request's body on its way through: too large to hold, so that it is passed on as it comes."""
+"""Streams a request body that is too large to buffer whole from the client to a backend."""
 
 from __future__ import annotations
 
@@ -7,69 +7,76 @@
 
 import trio
 
-MAX_BUFFERED_BYTES = 65536  # bytes of one body that are held whole; a larger one is passed on as it comes
-MAX_BUFFERED_BYTES_TOTAL = 4 << 20  # bytes that all bodies passed on may hold; beyond that each holds less
-MIN_BUFFERED_BYTES = 4096  # that each may hold, however many there are
+MAX_BUFFERED_BYTES = 65536  # a larger body is streamed
+MAX_BUFFERED_BYTES_TOTAL = 4 << 20  # for all streamed bodies, which share it equally
+MIN_BUFFERED_BYTES = 4096  # that one streamed body may buffer, however many are open
 
 
 class BodyAborted(Exception):
-    """The client has left in the middle of its body, or what came of it made no sense."""
+    """The client disconnected in the middle of its body, or the body was malformed."""
 
 
 class BodyStream:
-    """Pieces in their order, from the client's connection to one delegation's.
+    """Ordered chunks of one body, from the client's connection to the connection of one attempt.
 
-    The writer looks at ``room`` before it reads on from the client; the reader takes what there is. Once the
-    first piece is taken nobody else can have the body: ``taken`` says so.
+    The writer waits for space before it reads more from the client; the reader takes all buffered chunks.
+    Once the reader has begun, no other attempt can send the body: ``reading_begun`` is then true. ``length``
+    is the whole size in bytes, or None where the client did not announce it; ``first`` is the first chunk.
     """
 
-    open_streams: ClassVar[WeakSet[BodyStream]] = WeakSet()  # those of which some may still be held
+    open_streams: ClassVar[WeakSet[BodyStream]] = WeakSet()  # streams that may still buffer chunks
 
     def __init__(self, length: int | None, first: bytes) -> None:
         self.open_streams.add(self)
-        self.length = length  # in all, in bytes; None where it is not told ahead
+        self.length = length
         self.chunks, self.buffered_bytes = [first], len(first)
         self.reading_begun = self.ended = self.aborted = self.discarded = False
         self.data_arrived, self.space_freed = trio.Event(), trio.Event()
 
-    def put(self, piece: bytes) -> None:
+    def put(self, chunk: bytes) -> None:
+        """Append a chunk and wake the reader; the chunk of a discarded body is dropped."""
         if not self.discarded:
-            self.chunks.append(piece)
-            self.buffered_bytes += len(piece)
+            self.chunks.append(chunk)
+            self.buffered_bytes += len(chunk)
         self.data_arrived.set()
 
     def is_full(self) -> bool:
-        part = MAX_BUFFERED_BYTES_TOTAL // max(1, len(self.open_streams))
+        """Whether the stream has used up its share of the buffer space; never so for a discarded body."""
+        share = MAX_BUFFERED_BYTES_TOTAL // max(1, len(self.open_streams))
         return (
-            self.buffered_bytes >= max(MIN_BUFFERED_BYTES, min(MAX_BUFFERED_BYTES, part))
+            self.buffered_bytes >= max(MIN_BUFFERED_BYTES, min(MAX_BUFFERED_BYTES, share))
             and not self.discarded
         )
 
     async def wait_for_space(self) -> None:
-        """Until there is room, or nobody wants the rest. Bounded by its reader's own bounds."""
+        """Wait until the stream is no longer full or is discarded; the reader's timeouts bound it."""
         while self.is_full():
             self.space_freed = trio.Event()
             await self.space_freed.wait()
 
     def end(self) -> None:
+        """Mark the body as complete."""
         self.ended = True
         self.data_arrived.set()
 
     def abort(self) -> None:
+        """Mark the body as broken off: the reader gets ``BodyAborted`` after the buffered chunks."""
         self.aborted = True
         self.open_streams.discard(self)
         self.data_arrived.set()
 
     def discard(self) -> None:
-        """Nobody wants the rest: it is read and forgotten."""
+        """Drop the buffered chunks and all later ones: the rest of the body is not needed."""
         self.discarded, self.chunks, self.buffered_bytes = True, [], 0
         self.open_streams.discard(self)
         self.space_freed.set()
 
     async def read_available(self) -> list[bytes]:
-        """What has come since; nothing at the end. ``BodyAborted`` if there will be no end. Cancelled, it
-        has taken
-        nothing. It waits as long as the client's connection lets its client be slow."""
+        """Return all buffered chunks, waiting for at least one; an empty list means the end of the body.
+
+        Raises ``BodyAborted`` if the body was broken off. A cancelled call consumes nothing. The timeouts of
+        the client's connection bound the wait.
+        """
         self.reading_begun = True
         while not self.chunks:
             if self.aborted:
@@ -78,8 +85,8 @@
                 return []
             self.data_arrived = trio.Event()
             await self.data_arrived.wait()
-        pieces, self.chunks, self.buffered_bytes = self.chunks, [], 0
+        chunks, self.chunks, self.buffered_bytes = self.chunks, [], 0
         if self.ended:
             self.open_streams.discard(self)
         self.space_freed.set()
-        return pieces
+        return chunks
--- a/gorsefork/memory/mailbox.py
+++ b/gorsefork/memory/mailbox.py
@@ -1,4 +1,4 @@
-"""A bounded mailbox with one reader, for the actors."""
+"""The bounded single-reader mailbox of the actors."""
 
 from __future__ import annotations
 
@@ -12,14 +12,15 @@
 
 
 class Mailbox(Generic[T]):
-    """Messages in their order. ``put`` never waits; a full box says no, and its sender decides."""
+    """A bounded FIFO queue. ``put`` never waits: it returns False when full, and the sender decides."""
 
-    def __init__(self, most: int) -> None:
+    def __init__(self, capacity: int) -> None:
         self.messages: deque[T] = deque()
-        self.capacity = most
+        self.capacity = capacity
         self.not_empty = trio.Event()
 
     def put(self, message: T) -> bool:
+        """Append a message; return False if the mailbox is full."""
         if len(self.messages) >= self.capacity:
             return False
         self.messages.append(message)
@@ -27,6 +28,7 @@
         return True
 
     def drain(self) -> list[T]:
+        """Remove and return all messages."""
         messages = list(self.messages)
         self.messages.clear()
         if self.not_empty.is_set():
@@ -34,7 +36,7 @@
         return messages
 
     async def wait(self, deadline: float) -> None:
-        """Until there is a message, or trio's clock shows ``deadline``."""
+        """Wait until there is a message or trio's clock reaches ``deadline``."""
         if self.messages:
             return
         if deadline == math.inf:
--- a/gorsefork/memory/registry.py
+++ b/gorsefork/memory/registry.py
@@ -1,10 +1,9 @@
-"""The registry: discovery's list of backends, its one owner, and whether a backend may be sent anything.
+"""The registry: the only owner of the backend list from discovery, and of the operators' bans.
 
-An operator's ban stands above discovery's word: to all others a backend that is out by hand drains.
+An operator's ban overrides discovery: the rest of the process sees a banned backend as draining.
 
-News of more than ``MAX_ENTRIES_AT_ONCE`` entries are applied a piece at a time, and calls are served in
-between. An entry
-holds by itself, so that a table that has a part of the news is no worse than one that has none of them.
+An update of more than ``MAX_ENTRIES_AT_ONCE`` entries is applied in batches, and calls are served in between.
+Each entry is valid by itself, so a partly applied update is no worse than none.
 """
 
 from __future__ import annotations
@@ -19,17 +18,17 @@
 from gorsefork.memory.clock import monotonic_us
 from gorsefork.memory.mailbox import Mailbox
 
-MAX_REMEMBERED_IDS = 4096  # bound on the ids once listed that are remembered; the longest gone are forgotten
-# entries of news that are applied in one step; of a piece of larger ones
-MAX_ENTRIES_AT_ONCE, ENTRIES_PER_STEP = 256, 64
-STEP_PAUSE_S = 0.003  # s between two pieces: one after the other, they would hold up whatever came meanwhile
-MAX_BANS = 512  # bans at once
-MAX_START_REPORT_DELAY_US = 1_000_000  # us after its start in which discovery has told of a backend
+MAX_REMEMBERED_IDS = 4096  # ids that are no longer listed; the longest gone are forgotten first
+MAX_ENTRIES_AT_ONCE = 256  # a larger update is applied in batches
+ENTRIES_PER_STEP = 64  # in one batch of a larger update
+STEP_PAUSE_S = 0.003  # without a pause between batches, input that arrives meanwhile would be delayed
+MAX_BANS = 512  # at the same time
+MAX_START_REPORT_DELAY_US = 1_000_000  # discovery reports a backend within this time of its start
 
 
 @dataclass(frozen=True, slots=True)
 class RegisteredBackend:
-    """One entry. ``started_at`` is on this machine's clock, in microseconds; 0 means long ago."""
+    """One backend. ``started_at`` is in microseconds on this machine's clock; 0 means long ago."""
 
     name: str
     address: str
@@ -43,9 +42,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RegistryUpdate:
-    """The whole list, or the changes to it. ``not_true_before``: what it tells was not so yet at this time
-    (us); 0 if
-    nothing is known of that."""
+    """The whole backend list, or changes to it.
+
+    At the time ``not_true_before``, in microseconds, the reported state did not hold yet; 0 means unknown.
+    """
 
     kind: ListKind
     version: int
@@ -54,142 +54,150 @@
 
 
 class Registry:
-    """Actor: takes news from discovery in order, keeps the table and tells the module."""
+    """Actor that applies discovery updates in order and reports the backend table to the decision engine."""
 
     def __init__(
         self,
-        tell: Callable[[RegistryUpdate], None],
-        changed: Callable[[RegisteredBackend], None],
+        report_update: Callable[[RegistryUpdate], None],
+        on_backend_change: Callable[[RegisteredBackend], None],
         now: Callable[[], int] = monotonic_us,
     ) -> None:
         self.mailbox: Mailbox[RegistryUpdate] = Mailbox(64)
         self.backends: dict[str, RegisteredBackend] = {}
-        self.report_update, self.on_backend_change, self.now = tell, changed, now
-        # ids that were listed once, the latest gone last
+        self.report_update, self.on_backend_change, self.now = report_update, on_backend_change, now
+        # ids that are no longer listed, the most recently removed last
         self.unlisted_ids: OrderedDict[str, None] = OrderedDict()
-        self.banned_since: dict[str, int] = {}  # out by hand, since when (us)
-        # back by hand: cold from then (us), whatever discovery knows of it
+        self.banned_since: dict[str, int] = {}  # bans by operators, with their start (us)
+        # ends of bans (us): the backend is in slow start from then on, whatever start discovery reports
         self.unbanned_at: dict[str, int] = {}
-        # where they can't be as told: when they were, as far as is known
+        # corrected start times (us) of backends whose reported start is impossible
         self.adjusted_starts: dict[str, int] = {}
         self.version = 0
 
     async def run(self) -> None:
         while True:
             await self.mailbox.wait(float("inf"))
-            for news in self.mailbox.drain():
-                pause = STEP_PAUSE_S if self.backends else 0.0  # with none known there is nothing to serve
-                for _ in self.apply_in_steps(news):
+            for update in self.mailbox.drain():
+                # With an empty table no call can be served, so there is nothing that a batch could delay.
+                pause = STEP_PAUSE_S if self.backends else 0.0
+                for _ in self.apply_in_steps(update):
                     await trio.sleep(pause)
                 await trio.lowlevel.checkpoint()
 
-    def apply(self, news: RegistryUpdate) -> None:
-        """All of it, in one step."""
-        for _ in self.apply_in_steps(news):
+    def apply(self, update: RegistryUpdate) -> None:
+        """Apply the whole update without pauses."""
+        for _ in self.apply_in_steps(update):
             pass
 
-    def apply_in_steps(self, news: RegistryUpdate) -> Iterator[None]:
-        """Apply news; yields between its pieces, if it is large. What is not ready comes first then.
+    def apply_in_steps(self, update: RegistryUpdate) -> Iterator[None]:
+        """Apply an update; a large one yields before each batch and applies entries that are not ready first.
 
-        A list of which not all is applied yet keeps the old version.
+        The table keeps its old version until the whole update is applied.
         """
-        listed = len(self.backends) if news.kind in ("full", "cached") else 0
-        if max(len(news.backends), listed) <= MAX_ENTRIES_AT_ONCE:
-            self.apply_at_once(news)
+        listed = len(self.backends) if update.kind in ("full", "cached") else 0
+        if max(len(update.backends), listed) <= MAX_ENTRIES_AT_ONCE:
+            self.apply_at_once(update)
             return
-        last = {host.name: host for host in (*self.unlisted_by(news), *news.backends)}
-        hosts = sorted(last.values(), key=lambda host: host.state == "ready")
-        for start in range(0, len(hosts), ENTRIES_PER_STEP):
+        latest = {backend.name: backend for backend in (*self.unlisted_by(update), *update.backends)}
+        backends = sorted(latest.values(), key=lambda backend: backend.state == "ready")
+        for start in range(0, len(backends), ENTRIES_PER_STEP):
             yield
-            piece = hosts[start : start + ENTRIES_PER_STEP]
+            batch = backends[start : start + ENTRIES_PER_STEP]
             self.apply_entries(
-                [host for host in piece if self.backends.get(host.name) != host], news.not_true_before
+                [backend for backend in batch if self.backends.get(backend.name) != backend],
+                update.not_true_before,
             )
-        self.version = news.version
-
-    def apply_at_once(self, news: RegistryUpdate) -> None:
-        for host in self.unlisted_by(news):
-            self.remove(host.name)
-        for host in news.backends:
-            self.set_backend(host, news.not_true_before)
-        self.version = news.version
-        self.report_update(replace(news, backends=tuple(map(self.effective, news.backends))))
-
-    def apply_entries(self, hosts: list[RegisteredBackend], since: int) -> None:
-        """Some of the news, told as changes."""
-        for host in hosts:
-            self.set_backend(host, since)
-        if hosts:
-            self.report_update(RegistryUpdate("delta", self.version, tuple(map(self.effective, hosts))))
-
-    def unlisted_by(self, news: RegistryUpdate) -> list[RegisteredBackend]:
-        """What a complete list does not name, as gone."""
-        if news.kind not in ("full", "cached"):
+        self.version = update.version
+
+    def apply_at_once(self, update: RegistryUpdate) -> None:
+        """Apply a small update in one step and report it as one update."""
+        for backend in self.unlisted_by(update):
+            self.remove(backend.name)
+        for backend in update.backends:
+            self.set_backend(backend, update.not_true_before)
+        self.version = update.version
+        self.report_update(replace(update, backends=tuple(map(self.effective, update.backends))))
+
+    def apply_entries(self, backends: list[RegisteredBackend], since: int) -> None:
+        """Apply part of an update and report it as changes."""
+        for backend in backends:
+            self.set_backend(backend, since)
+        if backends:
+            self.report_update(RegistryUpdate("delta", self.version, tuple(map(self.effective, backends))))
+
+    def unlisted_by(self, update: RegistryUpdate) -> list[RegisteredBackend]:
+        """Return the backends that a complete list no longer names, as gone."""
+        if update.kind not in ("full", "cached"):
             return []
-        listed = {host.name for host in news.backends}
+        listed = {backend.name for backend in update.backends}
         return [
             RegisteredBackend(name, old.address, "gone")
             for name, old in self.backends.items()
             if name not in listed
         ]
 
-    def set_backend(self, host: RegisteredBackend, since: int = 0) -> None:
-        if host.state == "gone":
-            self.remove(host.name)
+    def set_backend(self, backend: RegisteredBackend, since: int = 0) -> None:
+        """Add, replace or remove one backend. ``since`` is the update's ``not_true_before``."""
+        if backend.state == "gone":
+            self.remove(backend.name)
         else:
-            self.limit_start(host, since)
-            self.backends[host.name] = host
-            self.unlisted_ids.pop(host.name, None)
-            self.on_backend_change(self.effective(host))
-
-    def limit_start(self, host: RegisteredBackend, since: int) -> None:
-        """Guards against a wall clock that was stepped, here or there: a start that is news is neither long
-        before the list that did not have it nor ahead of now, or what is cold would pass for warm, or never
-        be warm."""
-        old = self.backends.get(host.name)
-        if not host.started_at or (old is not None and host.started_at <= old.started_at):
+            self.limit_start(backend, since)
+            self.backends[backend.name] = backend
+            self.unlisted_ids.pop(backend.name, None)
+            self.on_backend_change(self.effective(backend))
+
+    def limit_start(self, backend: RegisteredBackend, since: int) -> None:
+        """Correct a new start time that is impossible, since a wall clock was stepped.
+
+        The clock may be this machine's or the remote one. A start that was not known before is neither long
+        before the list that did not contain it nor in the future. Without the correction, a backend in slow
+        start would pass for fully started, or would never become fully started.
+        """
+        old = self.backends.get(backend.name)
+        if not backend.started_at or (old is not None and backend.started_at <= old.started_at):
             return
-        earliest = since - MAX_START_REPORT_DELAY_US if since else host.started_at
-        start = min(self.now(), max(host.started_at, earliest))
-        self.adjusted_starts.pop(host.name, None)
-        if start != host.started_at:
-            self.adjusted_starts[host.name] = start
+        earliest = since - MAX_START_REPORT_DELAY_US if since else backend.started_at
+        start = min(self.now(), max(backend.started_at, earliest))
+        self.adjusted_starts.pop(backend.name, None)
+        if start != backend.started_at:
+            self.adjusted_starts[backend.name] = start
 
     def shift_starts(self, by: int) -> None:
-        """The offset between Unix time and this machine's clock is another by so many microseconds."""
-        for name, host in self.backends.items():
-            if host.started_at:
-                self.backends[name] = replace(host, started_at=host.started_at + by)
+        """Shift all starts by a change in the offset between Unix time and this machine's clock, in us."""
+        for name, backend in self.backends.items():
+            if backend.started_at:
+                self.backends[name] = replace(backend, started_at=backend.started_at + by)
 
     @property
     def known_ids(self) -> list[str]:
-        """The ids that were ever listed, within the bound; those listed now last."""
+        """The ids that were ever listed and are still remembered; those listed now come last."""
         return [*self.unlisted_ids, *self.backends]
 
     def remember_id(self, name: str) -> None:
-        """An id was listed once, here or where this process comes from."""
+        """Remember an id that was listed once, to this process or to its predecessor."""
         if name not in self.backends:
             self.unlisted_ids[name] = None
             self.unlisted_ids.move_to_end(name)
         while len(self.unlisted_ids) >= MAX_REMEMBERED_IDS:
-            # bans, of which there are fewer, are remembered longest
+            # Banned ids are never forgotten: MAX_BANS is lower than MAX_REMEMBERED_IDS.
             del self.unlisted_ids[next(old for old in self.unlisted_ids if old not in self.banned_since)]
 
     def is_known(self, name: str) -> bool:
+        """Whether the id is listed, was listed once and is still remembered, or is banned."""
         return name in self.backends or name in self.unlisted_ids or name in self.banned_since
 
-    def effective(self, host: RegisteredBackend) -> RegisteredBackend:
-        """What an entry is to this ingress: discovery's word under the operators'."""
-        if host.state == "gone":
-            return host
-        if host.name in self.banned_since:
-            return replace(host, state="draining")
-        started = self.adjusted_starts.get(host.name, host.started_at)
-        started = max(started, self.unbanned_at.get(host.name, 0))
-        return host if started == host.started_at else replace(host, started_at=started)
+    def effective(self, backend: RegisteredBackend) -> RegisteredBackend:
+        """Return the entry as this ingress uses it, with bans and corrected starts applied."""
+        if backend.state == "gone":
+            return backend
+        if backend.name in self.banned_since:
+            return replace(backend, state="draining")
+        started = self.adjusted_starts.get(backend.name, backend.started_at)
+        started = max(started, self.unbanned_at.get(backend.name, 0))
+        return backend if started == backend.started_at else replace(backend, started_at=started)
 
     def set_down(self, name: str) -> str:
-        """Out until ``set_up``, listed or not. Why not, or nothing; said again it changes nothing."""
+        """Ban a backend until ``set_up``, listed or not; a repeat has no effect. Return the error, or ""."""
         if not self.is_known(name):
             return "no such id was ever listed"
         if name not in self.banned_since and len(self.banned_since) >= MAX_BANS:
@@ -201,24 +209,29 @@
         return ""
 
     def set_up(self, name: str) -> str:
-        """The end of a ban, however often it was asked for. Guards against a backend that is pushed over: it
-        was restarted meanwhile, and discovery may not have told of that yet."""
+        """End the ban of a backend, however often it was set. Return the error, or "".
+
+        The backend is in slow start from now on unless its known start is later than the ban: it may have
+        restarted meanwhile without a report by discovery yet, and full load would overload it.
+        """
         if not self.is_known(name):
             return "no such id was ever listed"
         since = self.banned_since.pop(name, None)
-        host = self.backends.get(name)
-        if since is not None and host is not None:
-            if self.effective(host).started_at < since:
+        backend = self.backends.get(name)
+        if since is not None and backend is not None:
+            if self.effective(backend).started_at < since:
                 self.unbanned_at[name] = self.now()
             self.report_backend(name)
         return ""
 
     def report_backend(self, name: str) -> None:
-        if (host := self.backends.get(name)) is not None:
-            self.on_backend_change(self.effective(host))
-            self.report_update(RegistryUpdate("delta", self.version, (self.effective(host),)))
+        """Report the effective entry of a listed backend as a change."""
+        if (backend := self.backends.get(name)) is not None:
+            self.on_backend_change(self.effective(backend))
+            self.report_update(RegistryUpdate("delta", self.version, (self.effective(backend),)))
 
     def remove(self, name: str) -> None:
+        """Remove a backend that is gone, and remember its id."""
         self.unbanned_at.pop(name, None)
         self.adjusted_starts.pop(name, None)
         if (old := self.backends.pop(name, None)) is not None:
@@ -226,6 +239,10 @@
             self.on_backend_change(RegisteredBackend(name, old.address, "gone"))
 
     def accepts_attempts(self, name: str) -> bool:
-        """Guards against a send to one that drains or is gone: asked again just before the first byte."""
-        host = self.backends.get(name)
-        return host is not None and host.state == "ready" and name not in self.banned_since
+        """Whether a backend may get an attempt.
+
+        This is checked again just before the first byte is sent, so that no attempt goes to a backend that
+        drains or is gone by then.
+        """
+        backend = self.backends.get(name)
+        return backend is not None and backend.state == "ready" and name not in self.banned_since
--- a/gorsefork/memory/serving.py
+++ b/gorsefork/memory/serving.py
@@ -1,4 +1,4 @@
-"""Whether this process serves: ready, clients sent away, closing. Who asks reads it; few may change it."""
+"""The serving state of this process: ready, draining its clients, or closing."""
 
 from __future__ import annotations
 
@@ -8,26 +8,30 @@
 
 
 class ServingState:
-    """``draining_clients``: clients are to go elsewhere; nothing restarts, and what comes all the same is
-    served."""
+    """Read by the health and readiness checks; only the process life cycle and operators change it.
+
+    While ``draining_clients`` is true, clients are asked to use another ingress. The process does not restart
+    for that, and it still serves requests that arrive.
+    """
 
     def __init__(self) -> None:
         self.ready = trio.Event()
         self.closing = self.draining_clients = False
-        self.listeners: list[Callable[[bool], None]] = []  # told of each change of ``draining_clients``
+        self.listeners: list[Callable[[bool], None]] = []  # called on each change of ``draining_clients``
 
     def healthy(self) -> bool:
-        """What the clients' front is told."""
+        """Whether the health check of the clients' front passes."""
         return self.ready.is_set() and not self.draining_clients
 
     def set_draining_clients(self, on: bool) -> None:
+        """Set ``draining_clients`` and call the listeners if that changes it."""
         if on != self.draining_clients:
             self.draining_clients = on
-            for tell in self.listeners:
-                tell(on)
+            for notify in self.listeners:
+                notify(on)
 
     def why_not_ready(self) -> str:
-        """Why this process is not ready to serve; empty if it is. Clients sent away is no obstacle."""
+        """Return why this process is not ready to serve, or "" if it is. Draining clients does not count."""
         if self.closing:
             return "closing: it finishes what it has taken"
         return "" if self.ready.is_set() else "starting: not all parts are up"
--- a/gorsefork/memory/timers.py
+++ b/gorsefork/memory/timers.py
@@ -1,4 +1,4 @@
-"""The one timer heap of the module's actor."""
+"""The timer heap of the decision actor."""
 
 from __future__ import annotations
 
@@ -7,24 +7,30 @@
 
 
 class Timers:
-    """Tokens by the time at which they come due, in whole microseconds. One that is for a call which is no
-    longer among ``calls`` is dropped unheard: most of a call's timers outlive it, only to wake the loop."""
+    """Tokens ordered by their due time, in whole microseconds.
 
-    def __init__(self, calls: Container[str]) -> None:
-        self.open_calls = calls
+    A timer of a call that is no longer in ``open_calls`` is dropped without firing: most timers of a call
+    outlive it, and would only wake the loop.
+    """
+
+    def __init__(self, open_calls: Container[str]) -> None:
+        self.open_calls = open_calls
         self.heap: list[tuple[int, int, str, str]] = []
         self.serial = 0
 
     def set(self, due: int, token: str, call: str = "") -> None:
+        """Add a timer; one without a ``call`` always fires."""
         self.serial += 1
         heapq.heappush(self.heap, (due, self.serial, token, call))
 
     def next_due(self) -> int | None:
+        """Return the due time of the next timer, or None if there is none."""
         while self.heap and self.heap[0][3] and self.heap[0][3] not in self.open_calls:
             heapq.heappop(self.heap)
         return self.heap[0][0] if self.heap else None
 
     def due(self, now: int) -> list[str]:
+        """Remove and return the tokens that are due at ``now``, in order of their due time."""
         tokens = []
         while (first := self.next_due()) is not None and first <= now:
             tokens.append(heapq.heappop(self.heap)[2])
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -1,4 +1,4 @@
-"""The timer heap."""
+"""Tests the timer heap."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from gorsefork.memory.timers import Timers
 
 
-class Heap(unittest.TestCase):
-    def test_timers_come_in_order_and_those_of_calls_that_are_over_not_at_all(self) -> None:
-        calls = {"a", "b"}
-        timers = Timers(calls)
+class TimersTest(unittest.TestCase):
+    def test_timers_fire_in_order_and_those_of_finished_calls_not_at_all(self) -> None:
+        open_calls = {"a", "b"}
+        timers = Timers(open_calls)
         for due, token, call in ((30, "late", ""), (10, "a1", "a"), (10, "b1", "b"), (5, "a0", "a")):
             timers.set(due, token, call)
         self.assertEqual((timers.next_due(), timers.due(4)), (5, []))
         self.assertEqual(timers.due(5), ["a0"])
-        calls.discard("a")
+        open_calls.discard("a")
         self.assertEqual(timers.due(10), ["b1"])
         self.assertEqual((timers.next_due(), timers.due(30), timers.next_due()), (30, ["late"], None))
 
