--- a/gorsefork/decisions/__init__.py
+++ b/gorsefork/decisions/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions of a quota-keeping gateway for a shared API."""
+"""The decision engine of an ingress: backend selection, retries, overload control and customer quotas."""
 
 from gorsefork.decisions.rules import DecisionEngine
 
--- a/gorsefork/decisions/interface.py
+++ b/gorsefork/decisions/interface.py
@@ -1,8 +1,8 @@
-"""What gorsefork is told and what it answers: settings, events and actions, in the terms of the field.
+"""Settings, input events and output actions of the decision engine.
 
-All times are seconds (float) on one clock that only advances; servers, requests and customers are named by
-opaque strings. An operator makes one ``rules.DecisionEngine`` for each gateway process, gives it events
-in their order of arrival and carries out the actions it returns, in order.
+All times are seconds (float) on one clock that only advances. Backends, requests and customers are identified
+by opaque strings. The caller creates one ``rules.DecisionEngine`` for each ingress process, passes it the
+events in their order of arrival and carries out the returned actions in order.
 """
 
 from __future__ import annotations
@@ -21,26 +21,27 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of request: what it is worth, how fast it is wanted and whether it may be repeated."""
+    """A class of requests: the worth of an answer, its target latency and whether it may be repeated."""
 
     name: str
     aim: float
     deadline: float
     worth: float = 1.0
     late_worth: float = 0.0
-    aim_stretch: float = 0.0
+    aim_stretch: float = 0.0  # multiple of the class's mean latency that is added to the aim
     effect: Effect = "repeatable"
     scope: Scope = "all"
-    window: float = 0.0
+    window: float = 0.0  # seconds within which a request of effect by_key may be repeated
     stream: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A plan's quota for each of its customers, and its hard ceiling where it has one (0: none).
+    """The quota that a plan gives each of its customers, and its hard ceiling (0 if it has none).
 
-    ``series``: up to 16 characters in the names of its counts. Terms that begin anew have another one: what
-    was counted under the last is carried over by each gatekeeper itself, and not to be read once more.
+    ``series`` is up to 16 characters that become part of the names of the plan's counts. A plan that starts
+    counting afresh gets a new series: each ingress carries over its usage under the previous series itself,
+    so the old counts must not be read again.
     """
 
     name: str
@@ -58,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the site permits."""
+    """The attempts, connections, probes and peer messages that the site permits."""
 
     max_attempts: int = 1
     max_open: int = 20000
@@ -73,18 +74,18 @@
     keepalive: float = 15.0
 
     def retry_after_limit(self) -> float:
-        """The longest advice on when to come again, in seconds; 0 where the site permits none."""
+        """Return the longest Retry-After value that may be sent, in seconds; 0 if the site permits none."""
         return self.max_retry_after if self.retry_after else 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class SafetyLimits:
-    """The figures of the rules."""
+    """Parameters of the rules on deadlines, draining, slow start and overload."""
 
     answer_slack: float = 0.0
     drain_grace: float = 0.0
-    cold_share: float = 1.0
-    ramp: float = 0.0
+    cold_share: float = 1.0  # capacity share at the beginning of slow start
+    ramp: float = 0.0  # seconds of slow start
     fall_multiple: float = 1.0
     fall_window: float = 1.0
     ask_within: float = 10.0
@@ -92,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Accounting:
-    """How gateways learn of each other's use of a quota."""
+    """How the ingresses learn of each other's quota usage."""
 
     counter: bool = False
     counter_price: float = 0.0
@@ -104,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a gatekeeper is told at its start."""
+    """The complete configuration of a decision engine."""
 
     classes: Sequence[RequestClass]
     plans: Sequence[Plan]
@@ -121,40 +122,40 @@
 
 
 def validate_settings(settings: Settings) -> None:
-    """Settings that make no sense are refused at once, by name."""
-    limits, guards, accounting = settings.limits, settings.safety_limits, settings.accounting
-    sound = {
+    """Raise ``ValueError`` with the name of the first setting that is out of range."""
+    limits, safety_limits, accounting = settings.limits, settings.safety_limits, settings.accounting
+    is_valid = {
         "classes": len(settings.classes) > 0,
         "gatekeepers": settings.ingresses >= 1,
         "step": settings.time_step > 0,
         "limits.max_attempts": limits.max_attempts >= 1,
     }
-    for part, names in (
+    for section, names in (
         (limits, ("connect_timeout", "keepalive", "max_retry_after")),
-        (guards, ("drain_grace", "cold_share", "ramp", "fall_multiple", "fall_window")),
+        (safety_limits, ("drain_grace", "cold_share", "ramp", "fall_multiple", "fall_window")),
         (accounting, ("counter_timeout", "max_units")),
     ):
         for name in names:
-            sound[name] = 0 <= getattr(part, name) < math.inf
-    for cls in settings.classes:
-        sound[f"classes.{cls.name}.name"] = isinstance(cls.name, str)
-        sound[f"classes.{cls.name}.aim"] = 0 < cls.aim < math.inf
-        sound[f"classes.{cls.name}.effect"] = cls.effect in get_args(Effect)
-        sound[f"classes.{cls.name}.scope"] = cls.scope in get_args(Scope)
+            is_valid[name] = 0 <= getattr(section, name) < math.inf
+    for request_class in settings.classes:
+        is_valid[f"classes.{request_class.name}.name"] = isinstance(request_class.name, str)
+        is_valid[f"classes.{request_class.name}.aim"] = 0 < request_class.aim < math.inf
+        is_valid[f"classes.{request_class.name}.effect"] = request_class.effect in get_args(Effect)
+        is_valid[f"classes.{request_class.name}.scope"] = request_class.scope in get_args(Scope)
         for name in ("deadline", "worth", "window", "aim_stretch"):
-            sound[f"classes.{cls.name}.{name}"] = 0 <= getattr(cls, name) < math.inf
+            is_valid[f"classes.{request_class.name}.{name}"] = 0 <= getattr(request_class, name) < math.inf
     for plan in settings.plans:
         for name in ("rate", "burst", "parallel", "price", "ceiling_rate", "ceiling_burst", "ceiling_slack"):
-            sound[f"plans.{plan.name}.{name}"] = 0 <= getattr(plan, name) < math.inf
-        sound[f"plans.{plan.name}.name"] = isinstance(plan.name, str)
-    for name, holds in sound.items():
-        if not holds:
-            raise ValueError(f"{name} makes no sense")
+            is_valid[f"plans.{plan.name}.{name}"] = 0 <= getattr(plan, name) < math.inf
+        is_valid[f"plans.{plan.name}.name"] = isinstance(plan.name, str)
+    for name, valid in is_valid.items():
+        if not valid:
+            raise ValueError(f"setting {name} is out of range or of the wrong type")
 
 
 @dataclass(frozen=True, slots=True)
 class BackendEntry:
-    """A line of the server list. ``started`` 0 means long ago."""
+    """One backend in a backend list. ``started`` is its start time; 0 means long ago."""
 
     backend: str
     state: State = "ready"
@@ -167,7 +168,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendList:
-    """News of the servers: the complete list (full, cached), changes to it (delta), or a failed call."""
+    """A backend list update: the complete list (full, cached), changes to it (delta), or a failed call."""
 
     kind: ListKind
     entries: Sequence[BackendEntry] = ()
@@ -176,8 +177,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A client's try. ``time_left``: how long the client waits; ``ingress_count``: gateways its customer
-    uses."""
+    """A client's request.
+
+    ``time_left`` is how long the client still waits. ``ingress_count`` is the number of ingresses that the
+    customer uses, beginning at ``first_ingress``.
+    """
 
     id: str
     class_index: int
@@ -189,12 +193,12 @@
     first_ingress: int = 0
     is_retry: bool = False
     is_write: bool = False
-    plan_override: Plan | None = None  # what holds for this customer in place of the plan; named like a plan
+    plan_override: Plan | None = None  # replaces the plan for this customer; has the name of a plan
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """The answer of a streamed request has begun."""
+    """The response to a streamed request has started."""
 
     id: str
     attempt: int
@@ -204,8 +208,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """How an attempt ended. ``request_done``: the request is over; ``used``: 1 + the meter's per cent; 0:
-    none."""
+    """The result of an attempt.
+
+    ``request_done`` says that the request is finished. ``used`` is 1 + the meter's reading in per cent, or 0
+    without a reading.
+    """
 
     id: str
     attempt: int
@@ -220,21 +227,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientGone:
-    """The client has left."""
+    """The client has disconnected or no longer waits for the answer."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class TimerExpired:
-    """A timer set earlier has come due."""
+    """A timer requested by ``SetTimer`` has expired."""
 
     token: str
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeResult:
-    """The result of a probe."""
+    """The result of a backend probe, with the load that the backend reported."""
 
     backend: str
     status: Status
@@ -244,7 +251,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterReply:
-    """The answer to one counter call; calls on one name are answered in their order."""
+    """The reply to one ``AddToCounter`` call. Calls on the same name are answered in the order of sending."""
 
     name: str
     status: Status
@@ -254,7 +261,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """A short message from another gatekeeper."""
+    """A short message received from another ingress."""
 
     sender: int
     data: bytes
@@ -262,9 +269,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Start an attempt. ``timeout`` 0: until the client gives up. It is not to be begun ``start_before``
-    then or later:
-    its connection may take a while, and a repeat beyond its window is no repeat any more."""
+    """Start an attempt at a backend.
+
+    A ``timeout`` of 0 lets it run until the client gives up. The attempt must be sent before
+    ``start_before``: connecting may take a while, and a request repeated after its window counts as a new
+    one.
+    """
 
     id: str
     backend: str
@@ -274,7 +284,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop waiting for an attempt."""
+    """Stop waiting for the result of an attempt."""
 
     id: str
     attempt: int
@@ -282,7 +292,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
-    """Final answer: declined, trying again is harmless."""
+    """Answer the client finally: the request was rejected, and retrying it is safe."""
 
     id: str
     retry_after: float = 0.0
@@ -290,15 +300,17 @@
 
 @dataclass(frozen=True, slots=True)
 class FailRequest:
-    """Final answer: failed, nothing is promised."""
+    """Answer the client finally: the request failed, and it may or may not have been executed."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a ``TimerExpired`` event after ``delay``. ``request``: once that is over the host may drop
-    it."""
+    """Ask for a ``TimerExpired`` event after ``delay``.
+
+    The caller may drop the timer once the request named in ``request`` is finished.
+    """
 
     token: str
     delay: float
@@ -307,21 +319,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeBackend:
-    """Look at a server."""
+    """Send a health probe to a backend."""
 
     backend: str
 
 
 @dataclass(frozen=True, slots=True)
 class CloseIdleConnections:
-    """Close the idle connections to a server."""
+    """Close the idle connections to a backend."""
 
     backend: str
 
 
 @dataclass(frozen=True, slots=True)
 class AddToCounter:
-    """Add ``amount`` to a shared count that lapses ``ttl`` after its first call."""
+    """Add ``amount`` to a shared count that expires ``ttl`` after its first call."""
 
     name: str
     amount: float
@@ -330,7 +342,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendToPeer:
-    """Send a message to a peer, or to all of them (``None``)."""
+    """Send a message to one peer, or to all peers if ``peer`` is ``None``."""
 
     peer: int | None
     data: bytes
@@ -338,26 +350,26 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchBackends:
-    """Subscribe to changes of the server list, or cease to."""
+    """Subscribe to changes of the backend list, or end the subscription."""
 
     enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
 class FetchBackendList:
-    """Ask for the complete server list once."""
+    """Fetch the complete backend list once."""
 
 
 @dataclass(frozen=True, slots=True)
 class WriteLog:
-    """A line for the operators."""
+    """Write a log line for the operators."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class PlanOverride:
-    """From now on a customer has other terms; ``None``: those of the plan that each request names."""
+    """Replace a customer's plan from now on; ``None`` restores the plan that each request names."""
 
     customer: str
     plan: Plan | None = None
@@ -365,14 +377,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SuspendAdmission:
-    """While on, new requests are refused at once: their use could not be accounted for."""
+    """While enabled, new requests are rejected at once because their usage could not be accounted for."""
 
     enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
 class ShuttingDown:
-    """This gatekeeper stops: what it still holds is to get its answer now."""
+    """This ingress is stopping; requests that it still holds must be answered now."""
 
 
 Event = (
--- a/gorsefork/decisions/state.py
+++ b/gorsefork/decisions/state.py
@@ -1,4 +1,4 @@
-"""Plain records and queues that the decision module keeps. Nothing is decided here."""
+"""Records, tables and queues that hold the state of the decision engine. They make no decisions."""
 
 from __future__ import annotations
 
@@ -23,12 +23,14 @@
 
 QUOTA_MESSAGE_FORMAT = Struct("<c8sBfI")
 RING_HASH = attrgetter("ring_hash")
-NEVER = -math.inf  # one object for all servers
-IDLE_ACCOUNT_SPANS, IDLE_ACCOUNT_S = 2.5, 5.0  # an unused account is kept for its count's life, and s more
+NEVER = -math.inf  # one float object that all backends share
+# An unused account is kept until its last count has expired, and some seconds longer.
+IDLE_ACCOUNT_SPANS = 2.5
+IDLE_ACCOUNT_S = 5.0
 
 
 class Backend:
-    """A server's open work, learned speed and health, all from this gatekeeper's own traffic."""
+    """A backend's open attempts, measured speed and health, all from this ingress's own traffic."""
 
     __slots__ = (
         "answered_at",
@@ -52,23 +54,31 @@
 
     def __init__(self, entry: i.BackendEntry) -> None:
         self.entry = entry
-        # attempt -> sent at, latency to expect
+        # (request id, attempt number) -> (time sent, expected latency)
         self.open_attempts: dict[tuple[str, int], tuple[float, float]] = {}
-        self.latency_ratio, self.error_rate = 1.0, 0.0  # latency over the class mean; share of failures
+        self.latency_ratio = 1.0  # latency divided by the mean latency of the class
+        self.error_rate = 0.0  # share of attempts that failed
         self.sampled_at = self.answered_at = self.trial_at = self.tokens_filled_at = NEVER
-        self.slow_start_from, self.slow_start_tokens, self.silent = NEVER, 0.0, False
-        self.avoided_until = NEVER  # no connection was had: passed by till then
-        self.last_answered_send_at = NEVER  # when the latest attempt that has its answer was sent
-        self.failed_connects = 0  # connections in a row that were not had
-        self.ring_hash, self.on_ring = crc32(entry.backend.encode()), False  # where on the ring; whether
-        self.full_until: dict[tuple[int, int], float] = {}  # class and plan turned away -> until when
+        self.slow_start_from = NEVER
+        self.slow_start_tokens = 0.0
+        self.silent = False  # unresponsive
+        self.avoided_until = NEVER  # after a failed connect, no attempt is sent before this time
+        self.last_answered_send_at = NEVER  # send time of the most recently sent attempt that was answered
+        self.failed_connects = 0  # consecutive failed connects
+        self.ring_hash = crc32(entry.backend.encode())  # position on the ring
+        self.on_ring = False
+        # (class, plan) that the backend rejected as full -> time until which it is avoided for them
+        self.full_until: dict[tuple[int, int], float] = {}
 
     def oldest_attempt(self, now: float) -> tuple[float, float]:
-        """When the oldest open attempt was sent, and the latency to expect of it."""
+        """Return the send time and the expected latency of the oldest open attempt."""
         return next(iter(self.open_attempts.values()), (now, 1.0))
 
     def slowness(self, now: float) -> float:
-        """Latency against the class's, or the oldest open attempt's age: it shows before the answer does."""
+        """Return the latency relative to the class mean, raised by the age of the oldest open attempt.
+
+        The age shows that a backend has become slow before an answer arrives.
+        """
         if not self.open_attempts:
             return self.latency_ratio
         sent_at, expected = self.oldest_attempt(now)
@@ -76,100 +86,115 @@
 
 
 class BackendTable:
-    """The servers by name, and the ready ones as a ring that all gatekeepers go round the same way.
+    """The backends by name, and the ready ones as a hash ring that all ingresses traverse in the same order.
 
-    ``start``: the share of the ring at which this gatekeeper's own order begins.
+    ``start`` is the fraction of the ring (0 to 1) at which this ingress's own order begins.
     """
 
     def __init__(self, start: float) -> None:
         self.ring_offset = start
         self.backends: dict[str, Backend] = {}
-        self.ring: list[Backend] = []  # the ready ones, by their marks
-        self.ready: list[Backend] = []  # the same, from this gatekeeper's own place on
-        self.removed_in_use: list[Backend] = []  # gone, with attempts open
-        self.recently_used: dict[Backend, None] = {}  # sent to of late; those looked at longest ago first
-        self.groups: dict[tuple[str, int], list[Backend]] = {}  # of the ready ones, once asked for
-
-    def apply_list(self, news: i.BackendList) -> list[Backend]:
-        """Bring table and ring up to date; what a complete list leaves out is gone. The servers it names."""
-        changed = self.mark_unlisted_gone(news) if news.kind in ("full", "cached") else []
-        for entry in news.entries if news.kind != "failed" else ():
-            if (server := self.backends.get(entry.backend)) is None:
-                server = self.backends[entry.backend] = Backend(entry)
-            server.entry = entry
-            changed.append(server)
+        self.ring: list[Backend] = []  # ready backends by ring hash
+        self.ready: list[Backend] = []  # the same, from this ingress's own start on
+        self.removed_in_use: list[Backend] = []  # gone backends with open attempts
+        self.recently_used: dict[Backend, None] = {}  # sent to recently, least recently checked first
+        # ready backends by (scope, zone or cell), filled on first use
+        self.groups: dict[tuple[str, int], list[Backend]] = {}
+
+    def apply_list(self, update: i.BackendList) -> list[Backend]:
+        """Apply a backend list update to the table and the ring, and return the affected backends.
+
+        Backends that a complete list leaves out become "gone". A gone backend is removed once it has no open
+        attempts.
+        """
+        changed = self.mark_unlisted_gone(update) if update.kind in ("full", "cached") else []
+        for entry in update.entries if update.kind != "failed" else ():
+            if (backend := self.backends.get(entry.backend)) is None:
+                backend = self.backends[entry.backend] = Backend(entry)
+            backend.entry = entry
+            changed.append(backend)
         changed = list(dict.fromkeys(changed))
         gone = [s for s in dict.fromkeys((*self.removed_in_use, *changed)) if s.entry.state == "gone"]
-        for server in gone:
-            if not server.open_attempts:
-                del self.backends[server.entry.backend]
-                self.recently_used.pop(server, None)
-        self.removed_in_use = [server for server in gone if server.open_attempts]
+        for backend in gone:
+            if not backend.open_attempts:
+                del self.backends[backend.entry.backend]
+                self.recently_used.pop(backend, None)
+        self.removed_in_use = [backend for backend in gone if backend.open_attempts]
         self.update_ring(changed)
         return changed
 
-    def mark_unlisted_gone(self, news: i.BackendList) -> list[Backend]:
-        """Those that a complete list does not name: gone."""
-        listed, left = {entry.backend for entry in news.entries}, []
-        for name, server in self.backends.items():
+    def mark_unlisted_gone(self, update: i.BackendList) -> list[Backend]:
+        """Set the backends that a complete list does not name to "gone", and return them."""
+        listed, unlisted = {entry.backend for entry in update.entries}, []
+        for name, backend in self.backends.items():
             if name not in listed:
-                old = server.entry
-                server.entry = i.BackendEntry(name, "gone", old.started, old.kind, old.zone, old.cell)
-                left.append(server)
-        return left
+                old_entry = backend.entry
+                backend.entry = i.BackendEntry(
+                    name, "gone", old_entry.started, old_entry.kind, old_entry.zone, old_entry.cell
+                )
+                unlisted.append(backend)
+        return unlisted
 
     def update_ring(self, changed: list[Backend]) -> None:
-        """The ring after a change, at a cost of what has changed."""
-        for server in changed:
-            ready = server.entry.state == "ready"
-            if ready and not server.on_ring:
-                insort(self.ring, server, key=RING_HASH)
-            elif server.on_ring and not ready:
+        """Add or remove the changed backends on the ring, and rebuild the order of ready backends.
+
+        Only the changed backends are searched for; the ring is not sorted again.
+        """
+        for backend in changed:
+            ready = backend.entry.state == "ready"
+            if ready and not backend.on_ring:
+                insort(self.ring, backend, key=RING_HASH)
+            elif backend.on_ring and not ready:
                 del self.ring[
-                    self.ring.index(server, bisect_left(self.ring, server.ring_hash, key=RING_HASH))
+                    self.ring.index(backend, bisect_left(self.ring, backend.ring_hash, key=RING_HASH))
                 ]
-            server.on_ring = ready
-        at = self.ring_start()
-        self.ready, self.groups = self.ring[at:] + self.ring[:at], {}
+            backend.on_ring = ready
+        start = self.ring_start()
+        self.ready, self.groups = self.ring[start:] + self.ring[:start], {}
 
     def ring_start(self) -> int:
-        """Where on the ring this gatekeeper's order begins: as many begin at any stretch of it."""
+        """Return the ring index at which this ingress's order begins; the starts are spread evenly."""
         return int(self.ring_offset * len(self.ring))
 
-    def ring_rank(self, server: Backend) -> int:
-        """Of a server among ``ready``, or where it would stand there."""
-        at = bisect_left(self.ring, server.ring_hash, key=RING_HASH)
-        return (at - self.ring_start()) % max(1, len(self.ring))
-
-    def sampled_sum(self, value: Callable[[Backend], float], most: int, looks: int) -> float:
-        """The sum of a value over the first ``most`` ready ones; beyond ``looks`` of them, by every second,
-        third, ... one."""
-        each = max(1, math.ceil(most / looks))
-        return each * sum(map(value, self.ready[:most:each]))
-
-    def next_recently_used(self, looks: int) -> list[Backend]:
-        """The next of those sent to of late: at most ``looks``, each in its turn."""
-        turn = list(islice(self.recently_used, looks))
-        for server in turn:
-            del self.recently_used[server]
-            self.recently_used[server] = None
-        return turn
-
-    def in_scope(self, scope: i.Scope, ran: list[Attempt]) -> list[Backend]:
-        """The ready ones in the zone or cell that a request is bound to by the attempts that may have run."""
-        if scope == "all" or not ran:
+    def ring_rank(self, backend: Backend) -> int:
+        """Return the index of a backend in ``ready``, or the index that it would have there."""
+        position = bisect_left(self.ring, backend.ring_hash, key=RING_HASH)
+        return (position - self.ring_start()) % max(1, len(self.ring))
+
+    def sampled_sum(self, value: Callable[[Backend], float], max_backends: int, max_samples: int) -> float:
+        """Estimate the sum of a value over the first ``max_backends`` ready backends.
+
+        Reads at most ``max_samples`` of them, at even distances, and scales the sum up.
+        """
+        stride = max(1, math.ceil(max_backends / max_samples))
+        return stride * sum(map(value, self.ready[:max_backends:stride]))
+
+    def next_recently_used(self, max_backends: int) -> list[Backend]:
+        """Return the next recently used backends in round-robin order, at most ``max_backends``."""
+        next_backends = list(islice(self.recently_used, max_backends))
+        for backend in next_backends:
+            del self.recently_used[backend]
+            self.recently_used[backend] = None
+        return next_backends
+
+    def in_scope(self, scope: i.Scope, possibly_run: list[Attempt]) -> list[Backend]:
+        """Return the ready backends that a request of this scope may use.
+
+        They are those in the zone or cell of the first attempt that may have run, or all if there is none.
+        """
+        if scope == "all" or not possibly_run:
             return self.ready
         if not self.groups:
-            for server in self.ready:
-                entry = server.entry
-                self.groups.setdefault(("zone", entry.zone), []).append(server)
-                self.groups.setdefault(("cell", entry.cell), []).append(server)
-        return self.groups.get((scope, ran[0].zone if scope == "zone" else ran[0].cell), [])
+            for backend in self.ready:
+                entry = backend.entry
+                self.groups.setdefault(("zone", entry.zone), []).append(backend)
+                self.groups.setdefault(("cell", entry.cell), []).append(backend)
+        return self.groups.get((scope, possibly_run[0].zone if scope == "zone" else possibly_run[0].cell), [])
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt at a request, with the group its server was in when it was sent."""
+    """One attempt at a request, with the zone and cell of its backend at the time of sending."""
 
     backend: Backend
     sent_at: float
@@ -177,12 +202,12 @@
     cell: int
     open: bool = True
     may_have_run: bool = True
-    counts_as_open: bool = True  # among its lane's open ones
+    counts_as_open: bool = True  # in the open attempts of its priority level
 
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request that this gatekeeper owes one final answer."""
+    """A request that has been accepted and is still to get its one final answer."""
 
     request: i.Request
     request_class: i.RequestClass
@@ -192,69 +217,79 @@
     deadline: float
     aim_deadline: float
     hold_until: float
-    rank: float  # among a customer's waits, lowest first
+    rank: float  # in the customer's wait queue, lowest first
     attempts: list[Attempt] = field(default_factory=list)
     closed: bool = False
     streaming: bool = False
     held: bool = False
     within_quota: bool = False
     reserved: bool = False
-    owner_serial: int = 0  # of the ask to the customer's keeper; 0: judged here
-    owner_requests: int = 0  # how often its keeper was asked
-    room_expected_in: float = 0.0  # s until there may be room, as the keeper said
+    owner_serial: int = 0  # serial of the quota message to the account's owner; 0: decided in this process
+    owner_requests: int = 0  # number of quota messages sent to the account's owner
+    room_expected_in: float = 0.0  # seconds until quota may be available, from the owner's reply
 
     @staticmethod
     def create(
         request: i.Request,
-        cls: i.RequestClass,
+        request_class: i.RequestClass,
         plan: i.Plan,
         account: QuotaAccount,
-        lane: PriorityLevel,
+        priority_level: PriorityLevel,
         now: float,
-        wanted: float,
-        hold: float,
+        aim_s: float,
+        hold_s: float,
     ) -> PendingRequest:
-        """A ticket for a request that arrives at ``now``; ``wanted`` and ``hold`` are seconds from then."""
-        ends, rank = now + request.time_left, -cls.worth * plan.price
-        return PendingRequest(request, cls, plan, account, lane, ends, now + wanted, now + hold, rank)
+        """Create the record of a request arriving at ``now``; ``aim_s`` and ``hold_s`` are relative to it."""
+        deadline, rank = now + request.time_left, -request_class.worth * plan.price
+        return PendingRequest(
+            request,
+            request_class,
+            plan,
+            account,
+            priority_level,
+            deadline,
+            now + aim_s,
+            now + hold_s,
+            rank,
+        )
 
     @property
     def id(self) -> str:
-        """The id of its request, by which the host knows it."""
+        """The request id that the caller of the decision engine uses."""
         return self.request.id
 
     def open_attempts(self) -> int:
-        return sum(a.open for a in self.attempts)
+        return sum(attempt.open for attempt in self.attempts)
 
     def open_attempt(self, number: int) -> Attempt | None:
-        """The attempt of that number, if there is one and it has not ended."""
-        known = 0 <= number < len(self.attempts) and self.attempts[number].open
-        return self.attempts[number] if known else None
+        """Return the attempt with this number, or ``None`` if it does not exist or has ended."""
+        is_open = 0 <= number < len(self.attempts) and self.attempts[number].open
+        return self.attempts[number] if is_open else None
 
     def attempts_that_may_have_run(self) -> list[Attempt]:
-        return [a for a in self.attempts if a.may_have_run]
+        return [attempt for attempt in self.attempts if attempt.may_have_run]
 
     def repeat_deadline(self) -> float:
-        """The end of the window for its repeats: it begins with the first attempt that may have run."""
-        ran = self.attempts_that_may_have_run() if self.request_class.effect == "by_key" else []
-        return ran[0].sent_at + self.request_class.window if ran else math.inf
+        """Return the end of the repeat window, which begins with the first attempt that may have run."""
+        possibly_run = self.attempts_that_may_have_run() if self.request_class.effect == "by_key" else []
+        return possibly_run[0].sent_at + self.request_class.window if possibly_run else math.inf
 
     def is_waiting(self) -> bool:
         return self.held and not self.closed
 
 
 class HoldQueue:
-    """Queues of held tickets, one a rank; those that no longer wait drop out."""
+    """One FIFO queue of held requests per rank; requests that no longer wait are dropped lazily."""
 
     def __init__(self, ranks: int) -> None:
         self.queues: list[deque[PendingRequest]] = [deque() for _ in range(ranks)]
 
-    def add(self, ticket: PendingRequest, rank: int, front: bool = False) -> None:
-        ticket.held = True
+    def add(self, pending_request: PendingRequest, rank: int, front: bool = False) -> None:
+        pending_request.held = True
         if front:
-            self.queues[rank].appendleft(ticket)
+            self.queues[rank].appendleft(pending_request)
         else:
-            self.queues[rank].append(ticket)
+            self.queues[rank].append(pending_request)
 
     def first_waiting(self, ranks: int) -> PendingRequest | None:
         for queue in self.queues[:ranks]:
@@ -269,16 +304,17 @@
 
 
 class QuotaWaitQueue:
-    """Tickets waiting for one customer's room, by rank, with the units they ask for."""
+    """Requests waiting for one customer's quota, by rank, with the sum of the units that they need."""
 
     def __init__(self) -> None:
         self.heap: list[tuple[float, int, PendingRequest]] = []
-        self.units, self.serial = 0.0, 0
+        self.units = 0.0
+        self.serial = 0
 
-    def push(self, ticket: PendingRequest) -> None:
+    def push(self, pending_request: PendingRequest) -> None:
         self.serial += 1
-        self.units += ticket.request.units
-        heapq.heappush(self.heap, (ticket.rank, self.serial, ticket))
+        self.units += pending_request.request.units
+        heapq.heappush(self.heap, (pending_request.rank, self.serial, pending_request))
 
     def first_waiting(self) -> PendingRequest | None:
         while self.heap and not self.heap[0][2].is_waiting():
@@ -290,12 +326,12 @@
 
 
 class QuotaMessage(NamedTuple):
-    """A short message between gatekeepers about one customer's account."""
+    """A short message between ingresses about one customer's quota account."""
 
     kind: bytes
     tag: str
     plan_index: int
-    amount: float  # units, or seconds until there may be room
+    amount: float  # units, or seconds until quota may be available
     serial: int
 
     def encode(self) -> bytes:
@@ -305,7 +341,7 @@
 
     @staticmethod
     def decode(data: bytes, plans: int) -> QuotaMessage | None:
-        """None for what is torn or names no plan or number."""
+        """Decode a message; ``None`` if it has the wrong length, an unknown plan or a non-finite amount."""
         if len(data) != QUOTA_MESSAGE_FORMAT.size:
             return None
         kind, tag, plan, amount, serial = QUOTA_MESSAGE_FORMAT.unpack(data)
@@ -317,43 +353,50 @@
 
 
 class GrantCache(OrderedDict[tuple[int, int], bool]):
-    """A keeper's words by sender and serial. Beyond so many the oldest is forgotten: asked again it would be
-    paid for twice, after more tries of one customer than come in the time that it may be asked again."""
+    """The replies of an account's owner by (sender, serial), so that a repeated message gets the same reply.
+
+    Beyond ``MAX_GRANTS`` the oldest reply is dropped. A repeat of its message would spend the quota twice,
+    but a customer does not send that many requests within the time in which a message may be repeated.
+    """
 
     MAX_GRANTS = 32
 
-    def remember(self, ask: tuple[int, int], word: bool) -> None:
-        self[ask] = word
+    def remember(self, sender_and_serial: tuple[int, int], granted: bool) -> None:
+        self[sender_and_serial] = granted
         while len(self) > self.MAX_GRANTS:
             self.popitem(last=False)
 
 
 class AccountState:
-    """What is kept of one customer between calls on its count."""
+    """The quota state of one customer between calls to the shared counter."""
 
     def __init__(self, plan: i.Plan, now: float) -> None:
-        self.plan, self.refilled_at = plan, now
-        self.pending = self.seen = 0.0  # units not yet added; total last read of this span
-        self.level = self.mine = 0.0  # units left to all; to this gatekeeper
-        self.span, self.phase = 1.0, 0.0  # s that a count holds; where in it this customer's counts begin
-        self.own_recent_units = self.others_recent_units = 0.0  # units added lately, here and elsewhere
-        # span last called for; span and amount of the call now out
-        self.epoch, self.current_call = -1, (0, 0.0)
-        self.current_call_name = ""  # of the call now out
+        self.plan = plan
+        self.refilled_at = now
+        # pending: units not yet added to the count; seen: total of this count span that was last read
+        self.pending = self.seen = 0.0
+        self.level = self.mine = 0.0  # units left to all ingresses; units left to this ingress
+        self.span = 1.0  # seconds that one count name covers
+        self.phase = 0.0  # offset in seconds of this customer's count spans
+        # units added recently by this ingress and by the others
+        self.own_recent_units = self.others_recent_units = 0.0
+        self.epoch = -1  # number of the count span of the latest call
+        self.current_call = (0, 0.0)  # count span and amount of the call in flight
+        self.current_call_name = ""  # count name of the call in flight
         self.call_in_flight = self.timer_set = False
-        self.call_rank = math.inf  # its rank in the line for calls, if it stands there
-        # claims: waits whose units went with the call
+        self.call_rank = math.inf  # rank in the call queue, infinite if not queued
+        # claims: waiting requests whose units were added with the call in flight
         self.waiting, self.claims = QuotaWaitQueue(), list[PendingRequest]()
         self.open_requests, self.read_at, self.overdrawn_at = 0, -math.inf, -math.inf
-        # last span found used up; this gatekeeper's part of the ceiling
-        self.exhausted_epoch, self.ceiling = -1, 0.0
-        self.owner: int | None = None  # the gatekeeper that keeps this account for its set, if another does
-        self.leases: deque[float] = deque()  # when the open tries of peers that asked count no more
-        self.grants = GrantCache()  # on tries that peers asked about lately
-        self.handed_over = False  # its room is another process's by now: none grows here
-        self.has_plan_override = False  # its plan is what was told of this customer, not what a request names
-        # units spent before a change, in no count of this span's
-        self.carried_units, self.carried_at = 0.0, now
+        self.exhausted_epoch = -1  # latest count span that was found used up
+        self.ceiling = 0.0  # this ingress's part of the ceiling
+        self.owner: int | None = None  # the ingress that owns this account, if it is another one
+        self.leases: deque[float] = deque()  # expiry times of peers' open requests that were granted
+        self.grants = GrantCache()  # replies to recent messages from peers
+        self.handed_over = False  # the successor has the quota, so it no longer refills in this process
+        self.has_plan_override = False  # the plan comes from a plan override, not from a request
+        self.carried_units = 0.0  # units spent before a plan change that no count of this span holds
+        self.carried_at = now
 
     def epoch_at(self, now: float) -> int:
         return math.floor((now + self.phase) / self.span)
@@ -365,37 +408,44 @@
             self.pending += units
 
     def remaining_carried_units(self, now: float) -> float:
-        """What is left of the units carried over a change of terms: they are made good at the plan's rate."""
+        """Return the units carried over a plan change that the plan's rate has not yet paid back."""
         return max(0.0, self.carried_units - self.plan.rate * (now - self.carried_at))
 
     def in_use(self) -> bool:
-        """Whether a call or a try of its own is under way or waits. To stand in the line is not enough: where
-        calls are short some never get theirs, and what they would add was for a span long past."""
+        """Return whether a counter call or a request of this account is in flight or waiting.
+
+        A place in the call queue does not count: where calls are scarce some accounts never get one, and the
+        units that they would add belong to a count span long past.
+        """
         return bool(self.call_in_flight or self.open_requests or self.waiting.heap or self.claims)
 
     def concurrent_requests(self, now: float) -> int:
-        """Tries open here, and at the gatekeepers of the set that asked."""
+        """Return the open requests of this process and of the peers that hold an unexpired lease."""
         while self.leases and self.leases[0] <= now:
             self.leases.popleft()
         return self.open_requests + len(self.leases)
 
 
 class CallQueue:
-    """Accounts by rank, lowest first, the newest first among equals; each stands at its best rank only."""
+    """Accounts that wait for a counter call: lowest rank first, newest first among equals.
+
+    An account counts only at the rank of its latest entry; earlier entries are dropped lazily.
+    """
 
-    MIN_COMPACTION_LENGTH = 64  # entries below which those that hold no more are not looked for
+    MIN_COMPACTION_LENGTH = 64  # stale entries are not searched for in a shorter queue
 
     def __init__(self) -> None:
         self.heap: list[tuple[float, int, QuotaAccount]] = []
-        self.serial, self.compaction_length = 0, self.MIN_COMPACTION_LENGTH
+        self.serial = 0
+        self.compaction_length = self.MIN_COMPACTION_LENGTH
 
     def push(self, rank: float, account: QuotaAccount) -> None:
         self.serial += 1
         account.call_rank = rank
         heapq.heappush(self.heap, (rank, -self.serial, account))
         if len(self.heap) > self.compaction_length:
-            # Guards against a line that keeps all who ever stood in it: while calls are short its end is
-            # never reached, and what has left it would stay there with all that it holds.
+            # Prevents a queue that grows without bound: while calls are scarce its end is never reached, and
+            # stale entries would stay there and keep their accounts in memory.
             self.heap = [entry for entry in self.heap if entry[2].call_rank == entry[0]]
             heapq.heapify(self.heap)
             self.compaction_length = max(self.MIN_COMPACTION_LENGTH, 2 * len(self.heap))
@@ -415,19 +465,22 @@
 
 
 class AccountTable(OrderedDict[str, "QuotaAccount"]):
-    """Accounts by their customers' tags, the longest unused first."""
+    """Quota accounts by customer tag, least recently used first."""
 
     @staticmethod
     def customer_tag(customer: str) -> bytes:
         return blake2s(customer.encode(), digest_size=8).digest()
 
     def remove_idle(self, now: float) -> None:
-        """Guards against a table that grows with customers ever seen. Two at a time: faster than any come."""
-        for tag, old in list(islice(self.items(), 2)):
-            if now - old.refilled_at < IDLE_ACCOUNT_SPANS * old.span + IDLE_ACCOUNT_S:
+        """Remove idle accounts, so that the table does not grow with every customer ever seen.
+
+        Checks two accounts per call, which removes them faster than new ones are added.
+        """
+        for tag, account in list(islice(self.items(), 2)):
+            if now - account.refilled_at < IDLE_ACCOUNT_SPANS * account.span + IDLE_ACCOUNT_S:
                 return
-            if old.in_use():
+            if account.in_use():
                 self.move_to_end(tag)
             else:
-                old.call_rank = math.inf  # it stands in no line any more
+                account.call_rank = math.inf  # makes its call queue entries stale
                 del self[tag]
--- a/gorsefork/decisions/state_transfer.py
+++ b/gorsefork/decisions/state_transfer.py
@@ -1,10 +1,9 @@
-"""What a gatekeeper hands to the one that takes its place, while it finishes what it has taken.
+"""Transfers the decision engine's state from an ingress process to its successor.
 
-Nothing is decided here. One thing is kept to: what a customer may still spend is at one of the two, never at
-both. The old one keeps what its waiting tries ask for and a little, and gains nothing more
-(``AccountState.handed_over``); the new one has the rest and gains from there. All values are plain ones that
-JSON can
-carry; times are the module's.
+The predecessor finishes the requests that it has accepted. A customer's remaining quota is held by one of the
+two processes, never by both: the predecessor keeps the units that its waiting requests need and a small
+reserve, and refills no further (``AccountState.handed_over``); the successor gets the rest and refills
+from there. All values can be encoded as JSON; times are on the decision engine's clock.
 """
 
 from __future__ import annotations
@@ -48,107 +47,124 @@
 CAPACITY_FIELDS = ("mean_aim", "answer_rate", "peak_answer_rate", "target_open", "strain")
 QUOTA_FIELDS = ("started_at", "failed_calls", "call_rate", "rate_before_failure", "rate_cut_at")
 ENGINE_FIELDS = ("premium_threshold", "retry_budget")
-# of a customer's room: requests whose heads were half read are still to come to the old one
+# Share of a customer's quota that the predecessor keeps for requests whose heads it has read only in part.
 RETAINED_SHARE = 0.1
-SERIAL_GAP = 1 << 20  # far beyond the asks that the old one may still number
+SERIAL_GAP = 1 << 20  # far more than the quota messages that the predecessor may still number
 
 
-def attribute_values(thing: object, names: tuple[str, ...]) -> list[Any]:
-    return [getattr(thing, name) for name in names]
+def attribute_values(target: object, names: tuple[str, ...]) -> list[Any]:
+    """Return the values of the named attributes, in the order of the names."""
+    return [getattr(target, name) for name in names]
 
 
-def set_attributes(thing: object, names: tuple[str, ...], values: list[Any]) -> None:
+def set_attributes(target: object, names: tuple[str, ...], values: list[Any]) -> None:
+    """Set the named attributes to numbers, each converted to the type of the attribute's present value.
+
+    Raises ``ValueError`` for a value that is not a number or if the lengths differ.
+    """
     for name, value in zip(names, values, strict=True):
-        kind = type(getattr(thing, name))
+        value_type = type(getattr(target, name))
         if not isinstance(value, int | float):
-            raise ValueError(f"{name} is no number")
-        setattr(thing, name, kind(value))
+            raise ValueError(f"the value of {name} is not a number")
+        setattr(target, name, value_type(value))
+
 
+def export_state(engine: DecisionEngine) -> dict[str, Any]:
+    """Return the state that the successor continues with.
 
-def export_state(gate: DecisionEngine) -> dict[str, Any]:
-    """All that the next one is to go on with. From here on this one only finishes what it holds."""
-    places = {plan.name: place for place, plan in enumerate(gate.settings.plans)}
+    From this call on, the predecessor only finishes the requests that it holds, and its accounts no
+    longer refill.
+    """
+    plan_indexes = {plan.name: index for index, plan in enumerate(engine.settings.plans)}
     accounts = []
-    for account in gate.quota.accounts.values():
-        if not account.has_plan_override and account.plan.name in places:
-            accounts.append(export_account(account, places[account.plan.name]))
-    gate.quota.handed_over = True
+    for account in engine.quota.accounts.values():
+        if not account.has_plan_override and account.plan.name in plan_indexes:
+            accounts.append(export_account(account, plan_indexes[account.plan.name]))
+    engine.quota.handed_over = True
     return {
-        "servers": {name: attribute_values(s, BACKEND_FIELDS) for name, s in gate.selector.backends.items()},
-        "fleet": attribute_values(gate.selector, SELECTOR_FIELDS),
-        "capacity": attribute_values(gate.capacity, CAPACITY_FIELDS),
-        "service": [list(gate.selector.latency_by_class[n]) for n in range(len(gate.settings.classes))],
-        "quota": attribute_values(gate.quota, QUOTA_FIELDS),
-        "own": attribute_values(gate, ENGINE_FIELDS),
-        "serial": gate.quota.serial,
-        "share": gate.quota.confirmed_share,
+        "servers": {
+            name: attribute_values(backend, BACKEND_FIELDS)
+            for name, backend in engine.selector.backends.items()
+        },
+        "fleet": attribute_values(engine.selector, SELECTOR_FIELDS),
+        "capacity": attribute_values(engine.capacity, CAPACITY_FIELDS),
+        "service": [list(engine.selector.latency_by_class[n]) for n in range(len(engine.settings.classes))],
+        "quota": attribute_values(engine.quota, QUOTA_FIELDS),
+        "own": attribute_values(engine, ENGINE_FIELDS),
+        "serial": engine.quota.serial,
+        "share": engine.quota.confirmed_share,
         "accounts": accounts,
     }
 
 
-def export_account(account: QuotaAccount, plan: int) -> dict[str, Any]:
-    waiting = account.waiting.units
-    kept = min(account.ceiling, waiting + RETAINED_SHARE * account.ceiling)
-    mine = max(0.0, min(account.mine, waiting + RETAINED_SHARE * account.mine))
-    called = (
+def export_account(account: QuotaAccount, plan_index: int) -> dict[str, Any]:
+    """Split an account: return the successor's part, and leave the retained part in ``account``."""
+    waiting_units = account.waiting.units
+    kept_ceiling = min(account.ceiling, waiting_units + RETAINED_SHARE * account.ceiling)
+    kept_units = max(0.0, min(account.mine, waiting_units + RETAINED_SHARE * account.mine))
+    amount_in_flight = (
         account.current_call[1]
         if account.call_in_flight and account.current_call[0] == account.epoch
         else 0.0
     )
-    given = {
+    exported = {
         "tag": account.tag,
-        "plan": plan,
+        "plan": plan_index,
         "spread": account.ingress_count,
         "place": account.ingress_rank,
         "values": attribute_values(account, ACCOUNT_FIELDS),
-        "ceiling": account.ceiling - kept,
-        "mine": account.mine - mine,
+        "ceiling": account.ceiling - kept_ceiling,
+        "mine": account.mine - kept_units,
         "pending": account.pending,
-        "seen": account.seen + called,
+        "seen": account.seen + amount_in_flight,
         "leases": list(account.leases),
         "keeper": account.owner,
     }
-    account.ceiling, account.mine, account.pending, account.handed_over = kept, mine, 0.0, True
-    return given
-
-
-def import_state(gate: DecisionEngine, given: Mapping[str, Any], now: float) -> None:
-    """Go on from there. ``ValueError``, ``KeyError`` or ``TypeError`` where it can't be read; ``gate`` may
-    then hold a part of it, each value sound by itself."""
-    for name, values in given["servers"].items():
-        if (server := gate.selector.backends.get(str(name))) is not None:
-            cold = server.slow_start_from  # the list may have told of a later start
-            set_attributes(server, BACKEND_FIELDS, values)
-            server.slow_start_from = max(server.slow_start_from, cold)
-    set_attributes(gate.selector, SELECTOR_FIELDS, given["fleet"])
-    set_attributes(gate.capacity, CAPACITY_FIELDS, given["capacity"])
-    set_attributes(gate.quota, QUOTA_FIELDS, given["quota"])
-    set_attributes(gate, ENGINE_FIELDS, given["own"])
-    gate.quota.serial = int(given["serial"]) + SERIAL_GAP
-    for number, (mean, deviation) in enumerate(given["service"]):
-        if number in gate.selector.latency_by_class:
-            gate.selector.latency_by_class[number] = (float(mean), float(deviation))
-    for name, share in given["share"].items():
-        if name in gate.quota.confirmed_share:
-            gate.quota.confirmed_share[name] = float(share)
-    gate.started = True
-    gate.selector.update_candidate_count(now)
-    for each in given["accounts"]:
-        import_account(gate, each, now)
-
-
-def import_account(gate: DecisionEngine, given: Mapping[str, Any], now: float) -> None:
-    settings, tag = gate.settings, str(given["tag"])
-    if len(tag) != 16 or not 0 <= int(given["plan"]) < len(settings.plans) or int(given["spread"]) < 1:
-        raise ValueError("an account makes no sense")
+    account.ceiling, account.mine, account.pending, account.handed_over = kept_ceiling, kept_units, 0.0, True
+    return exported
+
+
+def import_state(engine: DecisionEngine, exported: Mapping[str, Any], now: float) -> None:
+    """Continue from the state that the predecessor exported.
+
+    Raises ``ValueError``, ``KeyError`` or ``TypeError`` for state that is malformed. ``engine`` may then hold
+    a part of it, in which each value is valid by itself.
+    """
+    for name, values in exported["servers"].items():
+        if (backend := engine.selector.backends.get(str(name))) is not None:
+            listed_slow_start = backend.slow_start_from  # the backend list may have reported a later start
+            set_attributes(backend, BACKEND_FIELDS, values)
+            backend.slow_start_from = max(backend.slow_start_from, listed_slow_start)
+    set_attributes(engine.selector, SELECTOR_FIELDS, exported["fleet"])
+    set_attributes(engine.capacity, CAPACITY_FIELDS, exported["capacity"])
+    set_attributes(engine.quota, QUOTA_FIELDS, exported["quota"])
+    set_attributes(engine, ENGINE_FIELDS, exported["own"])
+    engine.quota.serial = int(exported["serial"]) + SERIAL_GAP
+    for class_index, (mean, deviation) in enumerate(exported["service"]):
+        if class_index in engine.selector.latency_by_class:
+            engine.selector.latency_by_class[class_index] = (float(mean), float(deviation))
+    for name, share in exported["share"].items():
+        if name in engine.quota.confirmed_share:
+            engine.quota.confirmed_share[name] = float(share)
+    engine.started = True
+    engine.selector.update_candidate_count(now)
+    for account_values in exported["accounts"]:
+        import_account(engine, account_values, now)
+
+
+def import_account(engine: DecisionEngine, exported: Mapping[str, Any], now: float) -> None:
+    """Add an exported account to the engine; ``ValueError`` if its tag, plan or spread is malformed."""
+    settings, tag = engine.settings, str(exported["tag"])
+    if len(tag) != 16 or not 0 <= int(exported["plan"]) < len(settings.plans) or int(exported["spread"]) < 1:
+        raise ValueError("the quota account has a malformed tag, plan or spread")
     int(tag, 16)
-    first = (settings.own_index - int(given["place"])) % settings.ingresses
+    first_ingress = (settings.own_index - int(exported["place"])) % settings.ingresses
     account = QuotaAccount(
-        tag, int(given["spread"]), first, settings, settings.plans[int(given["plan"])], now
+        tag, int(exported["spread"]), first_ingress, settings, settings.plans[int(exported["plan"])], now
     )
-    set_attributes(account, ACCOUNT_FIELDS, given["values"])
+    set_attributes(account, ACCOUNT_FIELDS, exported["values"])
     names = ("ceiling", "mine", "pending", "seen")
-    set_attributes(account, names, [given[name] for name in names])
-    account.leases.extend(float(lease) for lease in given["leases"])
-    account.owner = None if given["keeper"] is None else int(given["keeper"])
-    gate.quota.accounts[tag] = account
+    set_attributes(account, names, [exported[name] for name in names])
+    account.leases.extend(float(lease) for lease in exported["leases"])
+    account.owner = None if exported["keeper"] is None else int(exported["keeper"])
+    engine.quota.accounts[tag] = account
