--- a/gorsefork/memory/__init__.py
+++ b/gorsefork/memory/__init__.py
@@ -1,1 +1,4 @@
-"""What is kept in memory: calls, delegations, the registry, timers and the module's actor. No wire here."""
+"""The in-memory core: calls, backend attempts, the backend registry, timers and the decision actor.
+
+It does no network I/O.
+"""
--- a/gorsefork/memory/call.py
+++ b/gorsefork/memory/call.py
@@ -1,5 +1,8 @@
-"""A call: one try of a client, which gets exactly one final answer. A delegation: one attempt of it at one
-backend."""
+"""Calls and their attempts.
+
+A call is one client request, which gets exactly one final answer. A backend attempt is one attempt to have
+one backend serve that call.
+"""
 
 from __future__ import annotations
 
@@ -19,49 +22,58 @@
 
 @dataclass(frozen=True, slots=True)
 class ServedAnswer:
-    """The body that a backend made for this call, unchanged."""
+    """A backend's answer to this call; its body is passed on unchanged."""
 
     body: bytes
     content_type: str = ""
 
 
 class AnswerSink(Protocol):
-    """Where a long answer goes, piece by piece."""
+    """Receives a streamed answer chunk by chunk."""
+
+    async def write_chunk(self, chunk: bytes | bytearray) -> None:
+        """Write as fast as the client reads.
 
-    async def write_chunk(self, piece: bytes | bytearray) -> None:
-        """As fast as the client reads. ``OSError``, ``trio.TooSlowError`` or ``trio.ClosedResourceError``
-        once it reads no more; cancelled, the answer is torn."""
+        Raises ``OSError``, ``trio.TooSlowError`` or ``trio.ClosedResourceError`` once the client no longer
+        reads. Cancelling a write aborts the answer.
+        """
         ...
 
     def end(self, whole: bool) -> None:
-        """No more comes. One that is not whole is ended so that the client can tell."""
+        """End the answer. If it is not ``whole``, it ends in a way that the client can detect."""
         ...
 
 
 @dataclass(slots=True, eq=False)
 class StreamedAnswer:
-    """As ``ServedAnswer``, but too large to hold: its body follows through ``sink``, which the front sets."""
+    """An answer too large to buffer, unlike ``ServedAnswer``.
+
+    Its body is written to ``sink``, which the front sets.
+    """
 
     content_type: str
-    length: int | None  # in bytes; None where it is not told ahead
+    length: int | None  # in bytes; None if it is not known in advance
     sink: AnswerSink | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class OverloadAnswer:
-    """An overload reply: declined, trying again is harmless. ``retry_after`` in seconds, 0: no advice."""
+    """The call was declined because of overload; a retry is harmless.
+
+    ``retry_after`` is in seconds; 0 gives no advice.
+    """
 
     retry_after: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class FailedAnswer:
-    """Nothing is promised about whether it took effect."""
+    """The call failed; whether it took effect is unknown."""
 
 
 @dataclass(frozen=True, slots=True)
 class DeniedAnswer:
-    """The front's own answer: the client may not have this (any more)."""
+    """The front's own refusal: the client is not, or no longer, permitted to make this call."""
 
     status: int
     headers: tuple[tuple[str, str], ...] = ()
@@ -73,16 +85,23 @@
 
 
 class Permit(Protocol):
-    """What a front asks of a call again just before a delegation's first byte."""
+    """Lets a front check a call again just before the first byte of an attempt is sent."""
 
-    async def renew(self, delegation: BackendAttempt) -> bool:
-        """Whether it may go. If not it never runs, and the call may have had its answer here."""
+    async def renew(self, attempt: BackendAttempt) -> bool:
+        """Return whether the attempt may be sent.
+
+        If not, it never runs, and this method may already have answered the call.
+        """
         ...
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """``id`` is this program's own: a client may repeat a trace id, an id of ours never comes twice."""
+    """One client request.
+
+    ``id`` is assigned by this program and is unique, whereas a client may repeat its ``trace_id``.
+    ``arrived_at`` and ``deadline`` are in microseconds.
+    """
 
     id: str
     method: str
@@ -102,23 +121,26 @@
     is_retry: bool = False
     permit: Permit | None = None
     finished: bool = False
-    plan_name: str = ""  # the plan that holds for it, where the book names one
-    # a good answer has come: its use is recorded, if this installation records any
+    plan_name: str = ""  # the effective plan, if the plan book names one
+    # A good answer has arrived, and its usage is being recorded if this installation records usage.
     answer_accepted: bool = False
-    # its body, where that is passed on as it comes; ``body`` is empty then
+    # The body, if it is forwarded while it arrives; ``body`` is then empty.
     body_stream: BodyStream | None = None
-    answer_time: int = 0  # us from its last byte on within which the client is to have its answer
+    answer_time: int = 0  # us, from the body's last byte to the deadline of the answer
     attempts: list[BackendAttempt] = field(default_factory=list)
-    metrics: Metrics | None = None  # where its end is counted
-    # asked of its connection, ahead of what is read from it
+    metrics: Metrics | None = None  # counts how the call ends
+    # Asks the connection itself, without waiting for the data before the close to be read.
     client_has_left: Callable[[], bool] = lambda: False
 
     def finish(self, answer: Answer) -> bool:
-        """The one way to the final answer; the first wins and all later ones are dropped."""
+        """Give the final answer; every final answer goes through here.
+
+        Only the first one counts. Later ones are dropped, and ``False`` is returned.
+        """
         if self.finished:
             return False
         self.finished = True
-        if not isinstance(answer, StreamedAnswer):  # that one has its end still to come
+        if not isinstance(answer, StreamedAnswer):  # its end is counted once the stream ends
             self.count_end(
                 "fulfilled"
                 if isinstance(answer, ServedAnswer)
@@ -130,53 +152,58 @@
         return True
 
     def upload_finished(self, now: int) -> None:
-        """The last byte of a body has come that was passed on: its time counts from here."""
+        """Restart the deadline when the last byte of a forwarded body has arrived, at ``now``."""
         self.deadline = now + self.answer_time
-        for delegation in self.attempts:
-            if not delegation.ended:
-                delegation.deadline = self.deadline
-                if delegation.on_deadline_change is not None:
-                    delegation.on_deadline_change()
+        for attempt in self.attempts:
+            if not attempt.ended:
+                attempt.deadline = self.deadline
+                if attempt.on_deadline_change is not None:
+                    attempt.on_deadline_change()
 
     def count_end(self, kind: EndKind) -> None:
         if self.metrics is not None:
             self.metrics.ended[kind][self.class_index] += 1
 
     def abandon(self) -> bool:
-        """The client has gone: nobody is left to answer."""
+        """Finish without an answer because the client has gone; return whether the call was still open."""
         was_open, self.finished = not self.finished, True
         if was_open:
             self.count_end("gone")
         return was_open
 
     def open_attempts(self) -> int:
-        return sum(not d.ended for d in self.attempts)
+        return sum(not attempt.ended for attempt in self.attempts)
 
     def may_have_run(self) -> bool:
-        return any(d.fully_sent if not d.ended else d.may_have_run for d in self.attempts)
+        return any(
+            attempt.fully_sent if not attempt.ended else attempt.may_have_run for attempt in self.attempts
+        )
 
 
 @dataclass(slots=True, eq=False)
 class BackendAttempt:
-    """``written``: its last byte has gone out, so that from here on it may have run."""
+    """One attempt to have a backend serve a call.
+
+    ``fully_sent`` means that its last byte has been sent, so that from then on it may have run.
+    """
 
     call: Call
     number: int
     backend: str
     sent_at: int
     deadline: int
-    start_before: float = math.inf  # us: from then on it is not to be begun
+    start_before: float = math.inf  # us; the attempt must not begin at or after this time
     fully_sent: bool = False
     ended: bool = False
     may_have_run: bool = False
     cancelled: bool = False
-    on_cancel: Callable[[], None] | None = None  # set by whoever carries it out
-    on_deadline_change: Callable[[], None] | None = None  # the same, for another ``deadline``
-    # its answer is passed on: no end of its time cuts it off
+    on_cancel: Callable[[], None] | None = None  # set by the transport that carries it out
+    on_deadline_change: Callable[[], None] | None = None  # likewise, for a changed ``deadline``
+    # Called when its answer is streamed, which the deadline must not cut off.
     clear_deadline: Callable[[], None] = lambda: None
 
     def mark_sent(self) -> None:
-        """Its last byte has left."""
+        """Record that its last byte has been sent."""
         self.fully_sent = True
         if self.call.metrics is not None:
             self.call.metrics.sent_to_backends[self.call.class_index] += 1
@@ -189,10 +216,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """How a delegation ended, as its connection saw it."""
+    """How an attempt ended, as seen by its connection."""
 
     status: Status
     body: bytes = b""
     content_type: str = ""
     settled_units: float = 0.0
-    already_reported: bool = False  # the module was told when it began to pass
+    already_reported: bool = False  # the decision engine was notified when streaming began
--- a/gorsefork/memory/commands.py
+++ b/gorsefork/memory/commands.py
@@ -1,4 +1,4 @@
-"""Operators' commands: what each of them does. It knows no wire."""
+"""Implements the operators' commands, independently of their transport."""
 
 from __future__ import annotations
 
@@ -13,22 +13,26 @@
 
 
 class OperatorCommands:
-    """``answer`` takes one line and gives what is to be written back; it never waits.
+    """Executes operators' commands. ``answer`` takes one line, returns the reply to write and never waits.
 
-    ``avoided`` counts the backends that get nothing now.
-    ``listeners``: told of each ban and drain, such as another process of this ingress.
+    ``avoided`` counts the backends that currently receive no attempts.
+    ``listeners`` are notified of each set-down, set-up and drain command, for example to forward it to
+    another process of this ingress.
     """
 
     def __init__(
         self,
         serving: ServingState,
         registry: Registry,
-        figures: Metrics,
+        metrics: Metrics,
         avoided: Callable[[], int],
         log: Log,
     ) -> None:
-        self.serving, self.registry, self.metrics = serving, registry, figures
-        self.count_avoided, self.log = avoided, log
+        self.serving = serving
+        self.registry = registry
+        self.metrics = metrics
+        self.count_avoided = avoided
+        self.log = log
         self.listeners: list[Callable[[str], None]] = []
         self.handlers: dict[str, Callable[[], str]] = {
             "check": self.check,
@@ -38,25 +42,28 @@
         }
 
     def answer(self, line: str) -> str:
-        """``+OK`` or ``-ERR`` and a reason, ended by a line feed. A bad call changes nothing."""
+        """Execute one line and return ``+OK`` or ``-ERR`` with a text, ended by a line feed.
+
+        An invalid command changes nothing.
+        """
         words = line.split()
         if not words:
             return error_reply("say check, vars, set-down ID, set-up ID, drain-on or drain-off")
-        name, given = words[0], words[1:]
+        name, arguments = words[0], words[1:]
         if name in ("set-down", "set-up"):
-            if len(given) != 1 or len(given[0]) > MAX_ID_LENGTH:
+            if len(arguments) != 1 or len(arguments[0]) > MAX_ID_LENGTH:
                 return error_reply(f"{name} takes one id of a backend")
-            return self.set_down_or_up(name == "set-down", given[0])
-        call = self.handlers.get(name)
-        if call is None:
+            return self.set_down_or_up(name == "set-down", arguments[0])
+        command = self.handlers.get(name)
+        if command is None:
             return error_reply(
                 "unknown call; known: check, vars, set-down ID, set-up ID, drain-on, drain-off"
             )
-        return error_reply(f"{name} takes nothing behind it") if given else call()
+        return error_reply(f"{name} takes nothing behind it") if arguments else command()
 
     def check(self) -> str:
-        if why := self.serving.why_not_ready():
-            return error_reply(why)
+        if reason := self.serving.why_not_ready():
+            return error_reply(reason)
         return ok_reply("ready; clients are sent away" if self.serving.draining_clients else "ready")
 
     def metrics_text(self) -> str:
@@ -64,8 +71,8 @@
         return ok_reply("figures follow") + "".join(f"{line}\n" for line in [*lines, "."])
 
     def set_down_or_up(self, down: bool, name: str) -> str:
-        if why := self.registry.set_down(name) if down else self.registry.set_up(name):
-            return error_reply(why)
+        if reason := self.registry.set_down(name) if down else self.registry.set_up(name):
+            return error_reply(reason)
         return self.report_done("set-down" if down else "set-up", name, "out" if down else "back in")
 
     def set_draining(self, on: bool) -> str:
@@ -74,15 +81,15 @@
             "drain-on" if on else "drain-off", "", "clients are sent away" if on else "serving"
         )
 
-    def report_done(self, call: str, name: str, text: str) -> str:
-        line = f"{call} {name}".strip()
-        self.log(f"gorsefork: operators: {line}", event="operators.call", call=call, id=name)
-        for tell in self.listeners:
-            tell(line)
+    def report_done(self, command: str, name: str, text: str) -> str:
+        line = f"{command} {name}".strip()
+        self.log(f"gorsefork: operators: {line}", event="operators.call", call=command, id=name)
+        for notify in self.listeners:
+            notify(line)
         return ok_reply(f"{name} {text}".strip())
 
     def apply(self, line: str) -> None:
-        """A command that was given to another process of this ingress."""
+        """Apply a command that another process of this ingress received."""
         words = line.split()
         if words[:1] in (["set-down"], ["set-up"]) and len(words) == 2:
             (self.registry.set_down if words[0] == "set-down" else self.registry.set_up)(words[1])
--- a/gorsefork/memory/decision_actor.py
+++ b/gorsefork/memory/decision_actor.py
@@ -1,4 +1,4 @@
-"""The module's actor: hands the decision module what came and carries out what it answers."""
+"""The decision actor: passes events to the decision engine and carries out the actions that it returns."""
 
 from __future__ import annotations
 
@@ -29,36 +29,37 @@
 from gorsefork.memory.registry import RegistryUpdate
 from gorsefork.memory.timers import Timers
 
-CORE_TIMER_PREFIX = "!"  # begins the tokens of the core's own timers
+CORE_TIMER_PREFIX = "!"  # of the tokens of the core's own timers
 MICRO_UNITS_PER_UNIT = 1_000_000
-MAX_EVENTS = 100_000  # far above what open calls, delegations and counter calls can owe at once
+MAX_EVENTS = 100_000  # far more than open calls, attempts and counter calls can produce at once
 
 
 class MailboxFull(RuntimeError):
-    """The module's actor has stopped keeping up: losing an event would lose an answer."""
+    """The decision actor no longer keeps up. Dropping the event would lose a client's answer."""
 
 
 class DecisionActor:
-    """One turn: drain the mailbox, ``handle`` once, carry out the actions in order without waiting."""
+    """Runs the decision engine in turns.
+
+    Each turn drains the mailbox, calls ``handle`` once and carries out the actions in order without waiting.
+    """
 
     def __init__(self, settings: i.Settings, seed: int, clock: Clock, log: Callable[[str], None]) -> None:
-        self.engine, self.clock, self.log, self.settings = (
-            DecisionEngine(settings, seed),
-            clock,
-            log,
-            settings,
-        )
+        self.engine = DecisionEngine(settings, seed)
+        self.clock = clock
+        self.log = log
+        self.settings = settings
         self.mailbox: Mailbox[i.Event] = Mailbox(MAX_EVENTS)
         self.calls: dict[str, Call] = {}
-        self.calls_by_trace: dict[str, Call] = {}  # the same by their clients' ids
+        self.calls_by_trace: dict[str, Call] = {}  # by the clients' trace ids
         self.timers = Timers(self.calls)
         self.metrics = Metrics([cls.name for cls in settings.classes])
         self.backends: Backends
         self.counter: Counter
         self.peers: Peers
         self.discovery: Discovery
-        self.plan_overrides: PlanOverrides | None = None  # the plan book, where there is one
-        self.usage_recorder: UsageRecorder | None = None  # who records use, where that is switched on
+        self.plan_overrides: PlanOverrides | None = None  # the plan book, if there is one
+        self.usage_recorder: UsageRecorder | None = None  # set if usage recording is enabled
         self.site_names: list[str] = []
         self.kind_names: list[str] = []
         self.action_handlers: Mapping[type, Callable[[Any], None]] = {
@@ -75,164 +76,185 @@
             i.WriteLog: self.write_log,
         }
 
-    # What the fronts and the wire say.
+    # Input from the fronts and the wire.
 
     def post(self, event: i.Event) -> None:
         if not self.mailbox.put(event):
             raise MailboxFull(type(event).__name__)
 
     def receive_peer_message(self, message: i.PeerMessage) -> None:
-        """Messages may be lost: one that finds no place is."""
+        """Post a peer message, or drop it if the mailbox is full: peer messages may be lost."""
         self.mailbox.put(message)
 
     def accept_call(self, call: Call) -> None:
-        """A call is this ingress's from here on: it gets one final answer. Guards against one with the id of
-        another that is open: a backend could not tell the two apart."""
+        """Take responsibility for a call, which from here on gets exactly one final answer.
+
+        A call with the trace id of another open call is refused, since a backend could not tell the two
+        apart.
+        """
         call.metrics = self.metrics
         self.metrics.accepted[call.class_index] += 1
         if call.trace_id in self.calls_by_trace and not self.calls_by_trace[call.trace_id].finished:
             call.finish(DeniedAnswer(409))
             return
         self.calls_by_trace[call.trace_id] = call
-        left = (call.deadline - self.clock.now) / SECOND
+        time_left = (call.deadline - self.clock.now) / SECOND
         self.calls[call.id] = call
-        terms = (
+        plan_override = (
             self.plan_overrides.plan_for(call.customer, call.plan_index, self.clock.unix_us())
             if self.plan_overrides
             else None
         )
-        call.plan_name = terms.name if terms else ""
+        call.plan_name = plan_override.name if plan_override else ""
         self.post(
             i.Request(
                 call.id,
                 call.class_index,
                 call.plan_index,
                 call.customer,
-                left,
+                time_left,
                 call.units,
                 call.ingress_count,
                 call.first_ingress,
                 call.is_retry,
                 self.settings.classes[call.class_index].effect != "repeatable",
-                terms,
+                plan_override,
             )
         )
 
     def avoided_backends(self) -> int:
-        """Servers in the list that get nothing just now, by hand, by discovery's word or by choice."""
-        now, fleet = self.clock.unix(self.clock.now), self.engine.selector
-        return sum(s.entry.state != "gone" and fleet.is_suspect(s, now) for s in fleet.backends.values())
+        """Count the listed backends that currently receive no attempts.
+
+        An operator, discovery or the decision engine itself may have taken them out.
+        """
+        now, selector = self.clock.unix(self.clock.now), self.engine.selector
+        return sum(
+            backend.entry.state != "gone" and selector.is_suspect(backend, now)
+            for backend in selector.backends.values()
+        )
 
     def client_gone(self, call: Call) -> None:
         if call.abandon():
             self.post(i.ClientGone(call.id))
 
-    def attempt_ended(self, delegation: BackendAttempt, ending: AttemptResult) -> None:
-        """A good answer goes to the client by itself, at once."""
-        call = delegation.call
-        delegation.ended, delegation.may_have_run = True, ending.status not in NEVER_RAN
-        if ending.status == "ok" and self.usage_recorder is None:
-            call.finish(ServedAnswer(ending.body, ending.content_type))
-        elif ending.status == "ok":
-            self.record_usage(self.usage_recorder, call, ending)
-        latency = max(0, self.clock.now - delegation.sent_at) / SECOND
+    def attempt_ended(self, attempt: BackendAttempt, result: AttemptResult) -> None:
+        """Report an attempt's result to the decision engine.
+
+        A good answer goes to the client at once, without waiting for the engine's turn.
+        """
+        call = attempt.call
+        attempt.ended, attempt.may_have_run = True, result.status not in NEVER_RAN
+        if result.status == "ok" and self.usage_recorder is None:
+            call.finish(ServedAnswer(result.body, result.content_type))
+        elif result.status == "ok":
+            self.record_usage(self.usage_recorder, call, result)
+        latency = max(0, self.clock.now - attempt.sent_at) / SECOND
         self.post(
             i.AttemptEnded(
                 call.id,
-                delegation.number,
-                delegation.backend,
-                ending.status,
+                attempt.number,
+                attempt.backend,
+                result.status,
                 latency,
                 call.finished or call.answer_accepted,
-                settled_units=ending.settled_units,
+                settled_units=result.settled_units,
             )
         )
 
     async def begin_streamed_answer(
-        self, delegation: BackendAttempt, answer: StreamedAnswer, billed: float
+        self, attempt: BackendAttempt, answer: StreamedAnswer, billed: float
     ) -> bool:
-        """A good answer begins that is too large to hold: whether it is this one that the client gets.
+        """Begin a good answer that is too large to buffer; return whether the client gets this answer.
 
-        For the module it has ended well: what is left is to pass on bytes. Nothing of it may be sent again.
+        To the decision engine the attempt has then succeeded, since only bytes remain to be forwarded. From
+        here on the call may not be sent again.
         """
-        call = delegation.call
+        call = attempt.call
         if call.finished or call.answer_accepted:
             return False
         if self.usage_recorder is not None:
-            call.answer_accepted, recorded, kept = True, trio.Event(), list[bool]()
+            call.answer_accepted, recorded, outcomes = True, trio.Event(), list[bool]()
 
-            def then(good: bool) -> None:
-                kept.append(good)
+            def on_recorded(stored: bool) -> None:
+                outcomes.append(stored)
                 recorded.set()
 
             self.timers.set(max(self.clock.now, call.deadline), CORE_TIMER_PREFIX + call.id, call.id)
-            self.usage_recorder.record(call, round((billed or call.units) * MICRO_UNITS_PER_UNIT), then)
+            self.usage_recorder.record(
+                call, round((billed or call.units) * MICRO_UNITS_PER_UNIT), on_recorded
+            )
             await recorded.wait()
-            if not kept[0]:
+            if not outcomes[0]:
                 call.finish(FailedAnswer())
-        first = call.finish(answer)
-        delegation.ended = delegation.may_have_run = True
+        is_first = call.finish(answer)
+        attempt.ended = attempt.may_have_run = True
         self.post(
             i.AttemptEnded(
                 call.id,
-                delegation.number,
-                delegation.backend,
-                "ok" if first else "error",
-                max(0, self.clock.now - delegation.sent_at) / SECOND,
+                attempt.number,
+                attempt.backend,
+                "ok" if is_first else "error",
+                max(0, self.clock.now - attempt.sent_at) / SECOND,
                 True,
                 settled_units=billed,
             )
         )
-        return first
+        return is_first
 
-    def record_usage(self, uses: UsageRecorder | None, call: Call, ending: AttemptResult) -> None:
-        """The first good answer's units are recorded before the answer's first byte leaves, whoever still
-        waits for it; not kept, or not in time, the client hears that it failed."""
-        if call.answer_accepted or uses is None:
+    def record_usage(self, recorder: UsageRecorder | None, call: Call, result: AttemptResult) -> None:
+        """Record the units of the first good answer before the first byte of that answer is sent.
+
+        They are recorded even if the client no longer waits. If the record is not stored, or not in time, the
+        client gets a failure.
+        """
+        if call.answer_accepted or recorder is None:
             return
         call.answer_accepted = True
-        micro = round((ending.settled_units or call.units) * MICRO_UNITS_PER_UNIT)
+        micro_units = round((result.settled_units or call.units) * MICRO_UNITS_PER_UNIT)
 
-        def then(kept: bool) -> None:
-            call.finish(ServedAnswer(ending.body, ending.content_type) if kept else FailedAnswer())
+        def on_recorded(stored: bool) -> None:
+            call.finish(ServedAnswer(result.body, result.content_type) if stored else FailedAnswer())
             self.drop_if_finished(call)
 
         self.timers.set(max(self.clock.now, call.deadline), CORE_TIMER_PREFIX + call.id, call.id)
-        uses.record(call, micro, then)
+        recorder.record(call, micro_units, on_recorded)
 
     def terms_changed(self, customers: Iterable[str]) -> None:
-        """The terms of these customers may be others now: the module hears so for those it may know."""
+        """Notify the decision engine that the plans of these customers may have changed.
+
+        The engine ignores customers that it has no account of.
+        """
         now = self.clock.unix_us()
         waiting = {call.customer: call for call in self.calls.values() if not call.finished}
         for customer in customers:
             call = waiting.get(customer)
-            terms = (
+            plan_override = (
                 self.plan_overrides.plan_for(customer, call.plan_index, now)
                 if self.plan_overrides and call
                 else None
             )
-            self.post(i.PlanOverride(customer, terms))
+            self.post(i.PlanOverride(customer, plan_override))
 
-    def backends_updated(self, news: RegistryUpdate) -> None:
+    def backends_updated(self, update: RegistryUpdate) -> None:
         entries = [
             i.BackendEntry(
-                h.name,
-                h.state,
-                max(1e-6, self.clock.unix(h.started_at)) if h.started_at else 0.0,
-                index_of(self.kind_names, h.kind),
-                index_of(self.site_names, h.site),
-                h.block,
-                h.weight,
+                backend.name,
+                backend.state,
+                max(1e-6, self.clock.unix(backend.started_at)) if backend.started_at else 0.0,
+                index_of(self.kind_names, backend.kind),
+                index_of(self.site_names, backend.site),
+                backend.block,
+                backend.weight,
             )
-            for h in news.backends
+            for backend in update.backends
         ]
-        self.post(i.BackendList(news.kind, entries, news.version))
+        self.post(i.BackendList(update.kind, entries, update.version))
 
-    # The turn.
+    # Turns of the engine.
 
     async def run(self) -> None:
         while True:
-            with trio.CancelScope() as scope:  # serves turn after turn, until a timer ends it
+            with trio.CancelScope() as scope:  # runs turns until a timer expires
                 armed = None
                 while True:
                     if (due := self.timers.next_due()) != armed:
@@ -245,8 +267,11 @@
             self.run_turn()
 
     async def read_pending_input(self) -> None:
-        """Guards against timers that a hold has made due ahead of what came meanwhile: a call would be
-        refused, or sent a second time, with its answer there to be read."""
+        """Read the input that arrived during a stall of this process before timers are handled.
+
+        Otherwise timers that came due during the stall would expire first, and a call would be refused or
+        sent a second time although its answer is waiting to be read.
+        """
         if self.clock.was_stalled():
             await trio.lowlevel.checkpoint()
 
@@ -266,7 +291,7 @@
         self.drop_finished_calls(events, actions)
 
     def drop_finished_calls(self, events: Sequence[i.Event], actions: Sequence[i.Action]) -> None:
-        """Drop the calls that this turn has brought to their end on both sides."""
+        """Drop the calls that this turn has ended both for the client and at the backends."""
         for item in (*events, *actions):
             if isinstance(item, i.AttemptEnded | i.ClientGone | i.RejectRequest | i.FailRequest):
                 call = self.calls.get(item.id)
@@ -274,7 +299,7 @@
                     self.drop_if_finished(call)
 
     def drop_if_finished(self, call: Call) -> None:
-        """Forget a call that is over on both sides."""
+        """Drop a call that is answered and has no open attempt."""
         if (
             call.finished
             and not call.open_attempts()
@@ -284,25 +309,27 @@
             del self.calls_by_trace[call.trace_id]
 
     def fail_unrecorded_call(self, name: str) -> None:
-        """Its use was not recorded in the call's time: nothing can be promised."""
+        """Fail a call whose usage was not recorded before its deadline: whether it took effect is unknown."""
         if (call := self.calls.get(name)) is not None:
             call.finish(FailedAnswer())
             self.drop_if_finished(call)
 
-    # What the module asks for.
+    # Actions of the decision engine.
 
     def start_attempt(self, action: i.StartAttempt) -> None:
         call, now = self.calls[action.id], self.clock.now
-        ends = min(call.deadline, now + round(action.timeout * SECOND)) if action.timeout else call.deadline
-        number, begin_by = len(call.attempts), self.clock.from_unix_s(action.start_before)
-        delegation = BackendAttempt(call, number, action.backend, now, ends, begin_by)
-        call.attempts.append(delegation)
-        # nobody has its body a second time
-        gone = call.body_stream is not None and call.body_stream.reading_begun
-        if call.finished or gone:  # it ended in the batch that the module answers here
-            self.attempt_ended(delegation, AttemptResult("moot"))
+        deadline = (
+            min(call.deadline, now + round(action.timeout * SECOND)) if action.timeout else call.deadline
+        )
+        number, start_before = len(call.attempts), self.clock.from_unix_s(action.start_before)
+        attempt = BackendAttempt(call, number, action.backend, now, deadline, start_before)
+        call.attempts.append(attempt)
+        # A forwarded body is not buffered, so it cannot be sent a second time.
+        body_consumed = call.body_stream is not None and call.body_stream.reading_begun
+        if call.finished or body_consumed:  # the call ended in the same batch of events
+            self.attempt_ended(attempt, AttemptResult("moot"))
         else:
-            self.backends.start_attempt(delegation)
+            self.backends.start_attempt(attempt)
 
     def cancel_attempt(self, action: i.CancelAttempt) -> None:
         call = self.calls.get(action.id)
@@ -316,8 +343,11 @@
         self.answer(action.id, FailedAnswer())
 
     def answer(self, name: str, answer: Answer) -> None:
-        """The module's word on a call. Guards against one that crossed a good answer, whose use is being
-        recorded: the client is owed that answer, and the call may even be forgotten by now."""
+        """Answer a call as the decision engine asks, unless a good answer has arrived meanwhile.
+
+        While the usage of that good answer is recorded, the client must still get it. The call may also have
+        been dropped already.
+        """
         call = self.calls.get(name)
         if call is not None and not call.answer_accepted:
             call.finish(answer)
@@ -338,14 +368,14 @@
         self.discovery.fetch()
 
     def watch_backends(self, action: i.WatchBackends) -> None:
-        """Nothing to do: discovery's client keeps its watch up by itself."""
+        """Do nothing: the discovery client maintains its watch by itself."""
 
     def write_log(self, action: i.WriteLog) -> None:
         self.log(action.text)
 
 
 def index_of(names: list[str], name: str) -> int:
-    """The place of a site or kind in the settings; one that the settings lack gets a place of its own."""
+    """Return the index of a site or kind; a name that is not in the list is appended."""
     if name not in names:
         names.append(name)
     return names.index(name)
--- a/gorsefork/memory/metrics.py
+++ b/gorsefork/memory/metrics.py
@@ -1,4 +1,4 @@
-"""What operators read of an ingress: each figure is counted where the thing itself ends, and once."""
+"""The metrics that an ingress reports to operators. Each event is counted once, where it occurs."""
 
 from __future__ import annotations
 
@@ -10,24 +10,29 @@
 
 
 class Metrics:
-    """Counts since the start of this process, one list a kind with a place for each class.
+    """Counts since the start of this process: one list for each kind, with one element for each class.
 
-    taken = fulfilled + throttled + faulted + gone + open, at every moment.
+    At every moment, accepted = fulfilled + throttled + faulted + gone + open.
     """
 
     def __init__(self, classes: Sequence[str]) -> None:
         self.classes = tuple(classes)
-        self.accepted, self.sent_to_backends = [0] * len(classes), [0] * len(classes)
+        self.accepted = [0] * len(classes)
+        self.sent_to_backends = [0] * len(classes)
         self.ended: dict[EndKind, list[int]] = {
             kind: [0] * len(classes) for kind in ("fulfilled", "throttled", "faulted", "gone")
         }
 
     def open_requests(self) -> int:
-        """Requests taken and not ended."""
+        """The number of requests that are accepted and have not ended."""
         return sum(self.accepted) - sum(map(sum, self.ended.values()))
 
     def lines(self, entries: int, avoided: int) -> list[str]:
-        """One line a figure. ``entries``: backends in the list; ``avoided``: those that get nothing now."""
+        """Formats one line for each metric.
+
+        ``entries`` is the number of backends in the list, ``avoided`` the number of those that currently
+        receive no attempts.
+        """
         lines = [
             f"{METRIC_PREFIX}.{kind}.{name}={count}"
             for kind in ("fulfilled", "throttled", "faulted")
--- a/gorsefork/memory/ports.py
+++ b/gorsefork/memory/ports.py
@@ -1,4 +1,4 @@
-"""What the core asks of the wire. None of these waits."""
+"""The interfaces through which the core uses the outside world. No method blocks or waits."""
 
 from __future__ import annotations
 
@@ -10,43 +10,46 @@
 
 
 class Backends(Protocol):
-    """The backends."""
+    """Sends attempts to the backends."""
 
-    def start_attempt(self, delegation: BackendAttempt) -> None: ...
-    def close_idle(self, host: str) -> None: ...
+    def start_attempt(self, attempt: BackendAttempt) -> None: ...
+    def close_idle(self, backend: str) -> None: ...
 
 
 class Counter(Protocol):
-    """The quota counter."""
+    """The shared quota counter. ``ttl_us`` is in microseconds."""
 
     def add(self, name: str, amount: float, ttl_us: int) -> None: ...
 
 
 class Peers(Protocol):
-    """The other ingresses of this site; ``None`` means all of them."""
+    """Sends messages to the other ingresses of this site; a ``peer`` of ``None`` means all of them."""
 
     def send(self, peer: int | None, data: bytes) -> None: ...
 
 
 class PlanOverrides(Protocol):
-    """The plan book: what holds for a customer at a time, in microseconds of Unix time."""
+    """The plan book: looks up a customer's effective plan at ``at``, in microseconds of Unix time."""
 
     def plan_for(self, customer: str, place: int, at: int) -> i.Plan | None: ...
 
 
 class UsageRecorder(Protocol):
-    """Whoever records use. ``then`` is called once, later: whether it is kept."""
+    """Records the usage of calls, ``micro`` in millionths of a unit.
 
-    def record(self, call: Call, micro: int, then: Callable[[bool], None]) -> None: ...
+    ``on_recorded`` is called once, later, with whether the record was stored.
+    """
+
+    def record(self, call: Call, micro: int, on_recorded: Callable[[bool], None]) -> None: ...
 
 
 class Log(Protocol):
-    """Where events are told: a text for people, a stable name and its fields for programs."""
+    """Writes a log event: a text for people, and a stable event name with fields for programs."""
 
     def __call__(self, text: str, /, *, event: str, **fields: object) -> None: ...
 
 
 class Discovery(Protocol):
-    """Whoever speaks to discovery."""
+    """The discovery client."""
 
     def fetch(self) -> None: ...
