--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -1,4 +1,7 @@
-"""Calls through the platform's front: one final answer each, and what a break means."""
+"""Tests of calls through the platform's front.
+
+Each call gets exactly one final answer, also when a connection breaks.
+"""
 
 from __future__ import annotations
 
@@ -30,7 +33,7 @@
             box send 200 | sold
             c1 expect 200 | sold""")
 
-    def test_what_is_no_call_gets_a_clean_4xx(self) -> None:
+    def test_an_invalid_request_gets_a_4xx(self) -> None:
         scenario("""
             c1 send GET /nothing
             c1 expect 404
@@ -60,7 +63,7 @@
             c3 expect 400
             box wait idle""")
 
-    def test_a_request_with_two_lengths_and_the_one_inside_it_go_nowhere(self) -> None:
+    def test_a_request_with_two_body_lengths_and_the_one_smuggled_in_it_are_not_forwarded(self) -> None:
         scenario("""
             c1 send raw POST /buy HTTP/1.1\\nContent-Length: 4\\nTransfer-Encoding: chunked\\n\\n
             c1 send raw 0\\n\\nGET /look
@@ -82,19 +85,19 @@
             c3 expect 200 | again""")
 
     def test_a_client_that_repeats_an_error_is_slowed_and_then_closed(self) -> None:
-        """Guards against one that asks again at full speed: it had taken all of the ingress's time."""
-        began = time.monotonic()
+        """Prevents a client that repeats errors at full speed from taking all of the ingress's time."""
+        started = time.monotonic()
         scenario("""
             c1 send again 300 GET /nothing
             c1 expect 404
             c1 expect 404 Connection
             c1 wait""")
-        self.assertGreater(time.monotonic() - began, ERROR_PAUSE_S)
+        self.assertGreater(time.monotonic() - started, ERROR_PAUSE_S)
 
-    def test_a_crowd_of_idle_clients_gives_way_before_it_fills_the_bound(self) -> None:
-        """Guards against clients that find no connection while others hold theirs for nothing."""
+    def test_idle_connections_are_closed_before_they_reach_the_limit(self) -> None:
+        """Prevents idle connections from using up the limit, so that other clients could not connect."""
 
-        async def crowd(world: World) -> None:
+        async def exceed_idle_limit(world: World) -> None:
             world.ingresses[0].acceptors[0].max_idle = 2
             await world.play("""
                 c1 send GET /look
@@ -109,9 +112,9 @@
                 c1 expect 200 | in hand""")
 
         with mock.patch("gorsefork.wire.connection_admission.MAX_IDLE_US", 60_000_000):
-            scenario("", then=crowd)
+            scenario("", then=exceed_idle_limit)
 
-    def test_many_that_come_at_once_are_not_closed_before_they_can_ask(self) -> None:
+    def test_a_burst_of_new_connections_is_not_closed_before_a_request_can_arrive(self) -> None:
         async def then(world: World) -> None:
             acceptor = world.ingresses[0].acceptors[0]
             acceptor.max_idle = 2
@@ -121,12 +124,12 @@
                 await trio.lowlevel.checkpoint()
             assert not any(c.is_last for c in acceptor.connections)
             for connection in acceptor.idle:
-                acceptor.idle[connection] -= NEW_CONNECTION_GRACE_US  # they had their time
+                acceptor.idle[connection] -= NEW_CONNECTION_GRACE_US  # their grace period has passed
             await world.play("c7 send GET /healthz\nc7 expect 200\nc1 wait")
 
         scenario("", then=then)
 
-    def test_silence_and_half_a_request_end_their_connections(self) -> None:
+    def test_idle_connections_and_partial_requests_time_out(self) -> None:
         with (
             mock.patch("gorsefork.wire.connection_admission.MAX_IDLE_US", 100_000),
             mock.patch("gorsefork.wire.http1.connection.REQUEST_TIMEOUT_S", 0.3),
@@ -148,7 +151,7 @@
                 box send 200 | late
                 c5 expect 200 | late""")
 
-    def test_at_the_bound_the_silent_give_way_first_then_the_served_then_heads(self) -> None:
+    def test_at_the_limit_silent_connections_close_first_then_served_ones_then_partial_heads(self) -> None:
         async def then(world: World) -> None:
             acceptor = world.ingresses[0].acceptors[0]
             await world.play("c1 send GET /healthz\nc1 expect 200\nc2 send raw GET /healthz HT\nc3 send raw")
@@ -160,17 +163,17 @@
             await world.play("c4 send GET /look\nbox expect GET /look\nc3 wait")
             await world.play("c5 send GET /look X-Trace-Id=5\nbox expect GET /look\nc1 wait")
             await world.play("c6 send GET /look X-Trace-Id=6\nbox expect GET /look\nc2 wait")
-            await world.play("c7 send GET /healthz")  # all places are those of calls: it waits its turn
+            await world.play("c7 send GET /healthz")  # calls use every connection, so this one waits
             await world.play("box send 200 | six\nc6 expect 200 | six\nc7 expect 200\nc6 wait")
 
         scenario("", then=then)
 
-    def test_many_requests_in_one_go_are_answered_in_turn(self) -> None:
-        """Guards against one answer's end beginning the next within itself, too deep for Python's stack."""
-        bare = "X-Trace-Id= X-Contract= X-Client-Id= X-Expires-In-Ms= X-Metering="
-        scenario(f"c1 send again 400 GET /healthz {bare}\n" + "c1 expect 200\n" * 400)
+    def test_many_pipelined_requests_are_answered_in_order(self) -> None:
+        """Prevents the end of each answer from starting the next recursively, which overflows the stack."""
+        no_call_headers = "X-Trace-Id= X-Contract= X-Client-Id= X-Expires-In-Ms= X-Metering="
+        scenario(f"c1 send again 400 GET /healthz {no_call_headers}\n" + "c1 expect 200\n" * 400)
 
-    def test_connections_that_break_before_they_are_accepted_harm_nobody(self) -> None:
+    def test_connections_reset_before_accept_do_no_harm(self) -> None:
         async def then(world: World) -> None:
             for _ in range(5):
                 sock = socket.create_connection(("127.0.0.1", world.ingresses[0].acceptors[0].port))
@@ -181,14 +184,14 @@
 
         scenario("", then=then)
 
-    def test_a_client_that_leaves_ends_its_delegation(self) -> None:
+    def test_a_client_that_leaves_cancels_its_attempt(self) -> None:
         scenario("""
             c1 send GET /look
             box expect GET /look
             c1 close
             box wait""")
 
-    def test_a_call_is_given_up_at_its_deadline_and_its_connection_closed(self) -> None:
+    def test_a_call_fails_at_its_deadline_and_its_connection_is_closed(self) -> None:
         scenario(f"""
             c1 send GET /look X-Expires-In-Ms=300
             box expect GET /look
@@ -199,39 +202,39 @@
             c2 expect 502
             box wait""")
 
-    def test_odd_bytes_in_a_box_s_content_type_come_back_as_they_are(self) -> None:
-        """Guards against an answer that could not be written, which ended the program."""
+    def test_non_ascii_bytes_in_a_backend_s_content_type_are_passed_on_unchanged(self) -> None:
+        """Prevents an error while such an answer is written, which ended the program."""
         scenario("""
             c1 send GET /look
             box expect GET /look
             box send 200 Content-Type=text/\xe9 | odd
             c1 expect 200 | odd""")
 
-    def test_a_gathered_write_that_the_socket_takes_in_parts_stays_whole(self) -> None:
+    def test_a_gathered_write_that_the_socket_accepts_in_parts_arrives_complete(self) -> None:
         async def main() -> bytes:
-            with socket.create_server(("127.0.0.1", 0)) as door:
-                far = socket.create_connection(door.getsockname())
-                near, _ = door.accept()
-            far.setblocking(False)
-            near.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-            stream, got = Stream(near), bytearray()
-            left = stream.write_now([b"a" * 1_000_000, b"b" * 1_000_000])
-            self.assertGreater(sum(map(len, left)), 0)
+            with socket.create_server(("127.0.0.1", 0)) as listener:
+                client_socket = socket.create_connection(listener.getsockname())
+                server_socket, _ = listener.accept()
+            client_socket.setblocking(False)
+            server_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+            stream, received = Stream(server_socket), bytearray()
+            unsent = stream.write_now([b"a" * 1_000_000, b"b" * 1_000_000])
+            self.assertGreater(sum(map(len, unsent)), 0)
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(stream.send, left)
-                reader = trio.SocketStream(trio.socket.from_stdlib_socket(far))
-                while len(got) < 2_000_000:
-                    got += await reader.receive_some()
+                nursery.start_soon(stream.send, unsent)
+                reader = trio.SocketStream(trio.socket.from_stdlib_socket(client_socket))
+                while len(received) < 2_000_000:
+                    received += await reader.receive_some()
             await reader.aclose()
             stream.close()
-            return bytes(got)
+            return bytes(received)
 
         self.assertEqual(trio.run(main), b"a" * 1_000_000 + b"b" * 1_000_000)
 
 
-class Breaks(unittest.TestCase):
+class ConnectionFailures(unittest.TestCase):
     def test_a_reset_after_the_last_byte_may_have_run(self) -> None:
-        """A purchase is not refused then, and goes again only with its key, in the same cell."""
+        """The purchase is not refused, and is sent again only with its idempotency key, in the same cell."""
         scenario(f"""
             c1 send POST /buy {KEY} X-Expires-In-Ms=800
             box expect POST /buy
@@ -243,7 +246,10 @@
             c1 expect 200 | sold""")
 
     def test_only_never_ran_proves_that_it_never_ran(self) -> None:
-        """After a bare 503 a purchase may have run: the client is not told that trying is harmless."""
+        """After a 503 without X-Never-Ran a purchase may have run.
+
+        The client must not be told that a retry is harmless.
+        """
         scenario(f"""
             c1 send POST /buy {KEY} X-Expires-In-Ms=200
             box expect POST /buy
@@ -263,7 +269,7 @@
             box send 503 X-Never-Ran=1
             c2 expect 503""")
 
-    def test_a_garbled_or_cut_answer_goes_to_nobody(self) -> None:
+    def test_a_malformed_or_truncated_answer_is_not_passed_on(self) -> None:
         scenario("""
             c1 send GET /look X-Expires-In-Ms=500
             box expect GET /look
@@ -275,7 +281,7 @@
             box send 200 | whole
             c1 expect 200 | whole""")
 
-    def test_an_answer_shorter_than_it_says_is_given_up_before_the_call_s_time(self) -> None:
+    def test_an_answer_shorter_than_its_length_is_abandoned_before_the_call_s_deadline(self) -> None:
         scenario("""
             c1 send GET /look
             box expect GET /look
@@ -291,8 +297,8 @@
             box send 200 | whole
             c1 expect 200 | whole""")
 
-    def test_a_connection_made_for_the_box_before_is_not_kept_for_the_next(self) -> None:
-        """Guards against a box that moves or starts anew while one of its connections is in use."""
+    def test_a_connection_to_a_backend_s_old_address_is_not_kept(self) -> None:
+        """Prevents a connection in use from being kept after its backend has moved or restarted."""
         moved = '{"host": "s-1", "dial": "$box2", "health": "active"}'
         scenario(
             """
@@ -327,8 +333,8 @@
             box send 200 | three
             c1 expect 200 | three""")
 
-    def test_an_idle_connection_is_closed_well_before_the_box_would(self) -> None:
-        began = time.monotonic()
+    def test_an_idle_connection_is_closed_well_before_the_backend_closes_it(self) -> None:
+        started = time.monotonic()
         scenario(
             """
             c1 send GET /look
@@ -338,12 +344,12 @@
             box wait""",
             keepalive=1_000_000_000,
         )
-        self.assertLess(time.monotonic() - began, 1.0)
+        self.assertLess(time.monotonic() - started, 1.0)
 
 
 class Drain(unittest.TestCase):
-    def test_clients_that_say_nothing_do_not_hold_up_a_drain(self) -> None:
-        """Guards against a restart that takes seconds longer for each crowd of silent clients."""
+    def test_clients_that_send_nothing_do_not_delay_a_drain(self) -> None:
+        """Prevents clients that send nothing from making each restart take seconds longer."""
 
         async def drain(world: World) -> None:
             async with trio.open_nursery() as nursery:
@@ -354,11 +360,11 @@
             self.assertFalse(world.ingresses[0].acceptors[0].busy())
             self.assertGreater(len(world.ingresses[0].acceptors[0].connections), 0)
 
-        began = time.monotonic()
+        started = time.monotonic()
         scenario("", then=drain)
-        self.assertLess(time.monotonic() - began, 1.5)
+        self.assertLess(time.monotonic() - started, 1.5)
 
-    def test_a_drain_answers_what_was_taken_and_closes_the_rest(self) -> None:
+    def test_a_drain_answers_accepted_calls_and_closes_the_rest(self) -> None:
         async def drain(world: World) -> None:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(world.ingresses[0].drain)
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""The operators' line: its calls, its figures, and what they do to clients and tour boxes."""
+"""Tests of the operators' line: its commands, its metrics, and their effect on clients and backends."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 KEY = "Idempotency-Key=k1"
 
 
-class Line(unittest.TestCase):
-    def test_each_call_gets_its_word_and_a_bad_one_changes_nothing(self) -> None:
+class Commands(unittest.TestCase):
+    def test_each_command_gets_its_reply_and_an_invalid_one_changes_nothing(self) -> None:
         scenario("""
             o1 send check
             o1 expect +OK
@@ -40,7 +40,7 @@
             o1 send vars
             o1 expect +OK out_of_rotation=0 registry_entries=1 open_requests=0 .""")
 
-    def test_callers_who_say_nothing_or_too_much_shut_nobody_out(self) -> None:
+    def test_silent_connections_and_long_lines_do_not_block_other_operators(self) -> None:
         silent = "\n".join(f"o{n} send raw chec" for n in range(2, 3 * MAX_CALLERS))
         scenario(f"""
             {silent}
@@ -49,7 +49,7 @@
             o1 send check
             o1 expect +OK""")
 
-    def test_operators_are_heard_when_every_place_for_clients_is_taken(self) -> None:
+    def test_operators_are_served_when_client_connections_are_at_their_limit(self) -> None:
         async def then(world: World) -> None:
             world.ingresses[0].acceptors[0].max_connections = 0
             await world.play("o1 send check\no1 expect +OK")
@@ -57,12 +57,12 @@
         scenario("", then=then)
 
 
-class Counts(unittest.TestCase):
-    def test_each_end_is_counted_once_and_all_adds_up(self) -> None:
+class MetricCounts(unittest.TestCase):
+    def test_each_end_is_counted_once_and_the_counts_add_up(self) -> None:
         async def then(world: World) -> None:
-            figures = world.ingresses[0].decision_actor.metrics
-            self.assertEqual(figures.accepted[0], sum(ended[0] for ended in figures.ended.values()) + 1)
-            self.assertEqual((figures.open_requests(), figures.ended["gone"][0]), (1, 1))
+            metrics = world.ingresses[0].decision_actor.metrics
+            self.assertEqual(metrics.accepted[0], sum(ended[0] for ended in metrics.ended.values()) + 1)
+            self.assertEqual((metrics.open_requests(), metrics.ended["gone"][0]), (1, 1))
 
         scenario(
             f"""
@@ -89,12 +89,12 @@
         )
 
 
-class OutByHand(unittest.TestCase):
-    def test_a_box_out_by_hand_gets_nothing_until_it_is_put_back_and_comes_back_cold(self) -> None:
+class SetDown(unittest.TestCase):
+    def test_a_backend_that_is_set_down_gets_no_attempts_until_set_up_and_then_slow_starts(self) -> None:
         async def then(world: World) -> None:
             ingress = world.ingresses[0]
-            server = ingress.decision_actor.engine.selector.backends["s-1"]
-            cold = server.slow_start_from
+            backend = ingress.decision_actor.engine.selector.backends["s-1"]
+            previous_slow_start = backend.slow_start_from
             await world.play("""
                 o1 send set-down s-1
                 o1 expect +OK
@@ -111,40 +111,41 @@
                 box expect GET /look
                 box send 200 | back
                 c1 expect 200 | back""")
-            self.assertGreater(server.slow_start_from, cold)
+            self.assertGreater(backend.slow_start_from, previous_slow_start)
 
         scenario("", then=then)
 
-    def test_discovery_does_not_end_a_ban_whatever_it_lists(self) -> None:
-        told: list[RegistryUpdate] = []
-        registry = Registry(told.append, lambda host: None, now=lambda: 77)
-        box = RegisteredBackend("a", "127.0.0.1:1", "ready")
-        registry.apply(RegistryUpdate("full", 1, (box,)))
+    def test_discovery_updates_do_not_end_a_set_down(self) -> None:
+        updates: list[RegistryUpdate] = []
+        registry = Registry(updates.append, lambda backend: None, now=lambda: 77)
+        backend = RegisteredBackend("a", "127.0.0.1:1", "ready")
+        registry.apply(RegistryUpdate("full", 1, (backend,)))
         self.assertEqual(registry.set_down("a"), "")
-        self.assertEqual((told[-1].backends[0].state, registry.accepts_attempts("a")), ("draining", False))
-        registry.apply(RegistryUpdate("delta", 2, (box,)))
-        self.assertEqual((told[-1].backends[0].state, registry.accepts_attempts("a")), ("draining", False))
-        registry.apply(RegistryUpdate("full", 3, ()))  # gone, still out, and back under the same name
+        self.assertEqual((updates[-1].backends[0].state, registry.accepts_attempts("a")), ("draining", False))
+        registry.apply(RegistryUpdate("delta", 2, (backend,)))
+        self.assertEqual((updates[-1].backends[0].state, registry.accepts_attempts("a")), ("draining", False))
+        # The backend is removed, stays set down, and is then listed again under the same name.
+        registry.apply(RegistryUpdate("full", 3, ()))
         self.assertEqual(registry.set_down("a"), "")
-        registry.apply(RegistryUpdate("delta", 4, (box,)))
-        self.assertEqual((told[-1].backends[0].state, registry.accepts_attempts("a")), ("draining", False))
+        registry.apply(RegistryUpdate("delta", 4, (backend,)))
+        self.assertEqual((updates[-1].backends[0].state, registry.accepts_attempts("a")), ("draining", False))
         self.assertEqual(registry.set_up("a"), "")
-        self.assertEqual((told[-1].backends[0].state, told[-1].backends[0].started_at), ("ready", 77))
+        self.assertEqual((updates[-1].backends[0].state, updates[-1].backends[0].started_at), ("ready", 77))
         self.assertTrue(registry.accepts_attempts("a"))
 
-    def test_ids_once_listed_are_remembered_within_a_bound_and_bans_longest(self) -> None:
-        registry = Registry(lambda news: None, lambda host: None)
+    def test_listed_ids_are_remembered_up_to_a_limit_and_those_set_down_longest(self) -> None:
+        registry = Registry(lambda update: None, lambda backend: None)
         registry.apply(RegistryUpdate("full", 1, (RegisteredBackend("banned", "127.0.0.1:1", "ready"),)))
         registry.set_down("banned")
         for n in range(MAX_REMEMBERED_IDS + 50):
             registry.apply(RegistryUpdate("full", n, (RegisteredBackend(f"s{n}", "127.0.0.1:1", "ready"),)))
         self.assertLessEqual(len(registry.known_ids), MAX_REMEMBERED_IDS)
-        self.assertTrue(registry.set_down("s0"))  # forgotten
+        self.assertTrue(registry.set_down("s0"))  # no longer remembered, so that it is refused
         self.assertEqual(registry.set_up("banned"), "")
 
 
-class SentAway(unittest.TestCase):
-    def test_healthz_says_no_at_once_and_yes_again_and_what_comes_is_served_and_closed(self) -> None:
+class ClientDrain(unittest.TestCase):
+    def test_healthz_follows_the_drain_at_once_and_requests_are_still_served_then_closed(self) -> None:
         scenario("""
             o1 send drain-on
             o1 expect +OK
@@ -166,7 +167,7 @@
             c3 send GET /healthz
             c3 expect 200""")
 
-    def test_idle_connections_are_closed_in_turn_and_never_under_a_request(self) -> None:
+    def test_a_drain_closes_idle_connections_gradually_and_never_during_a_request(self) -> None:
         async def then(world: World) -> None:
             acceptor = world.ingresses[0].acceptors[0]
             await world.play("c9 send GET /look X-Trace-Id=9\nbox expect GET /look")
