--- a/benchmarks/fleet_trace.py
+++ b/benchmarks/fleet_trace.py
@@ -50,7 +50,7 @@
         if server is None:
             return
         kind, told = self.news.get(name, ("", 0.0))
-        if kind == "leaving" or (kind == "cold" and gate.selector.warmth(server, now) < 1.0):
+        if kind == "leaving" or (kind == "cold" and gate.selector.slow_start_share(server, now) < 1.0):
             self.counts[f"since.{kind}.{age_of(now - told)}"] += 1
         if gate.selector.is_suspect(server, now):
             self.counts[f"since.bad.{age_of(now - self.bad.get(name, now))}"] += 1
@@ -67,22 +67,22 @@
                 self.action(decider, action)
             return actions
 
-        give_up = decider.engine.give_up
+        give_up = decider.engine.reject_or_fail
 
-        def given_up(ticket: PendingRequest) -> None:
+        def given_up(pending: PendingRequest) -> None:
             why = (
                 "tried"
-                if ticket.attempts
+                if pending.attempts
                 else "lane"
-                if ticket.reserved
+                if pending.reserved
                 else "keeper"
-                if ticket.room_expected_in
+                if pending.room_expected_in
                 else "quota"
             )
-            self.counts[f"up.{why}.{ticket.plan.name[:5]}"] += 1
-            give_up(ticket)
+            self.counts[f"up.{why}.{pending.plan.name[:5]}"] += 1
+            give_up(pending)
 
-        decider.engine.give_up = given_up  # type: ignore[method-assign]
+        decider.engine.reject_or_fail = given_up  # type: ignore[method-assign]
         decider.engine.handle = seen  # type: ignore[method-assign, assignment]
 
     def event(self, decider: DecisionActor, event: i.Event) -> None:
@@ -123,7 +123,7 @@
             add["sent.more"] += number > 1
             server = gate.selector.backends.get(action.backend)
             if server is not None:
-                add["sent.cold"] += gate.selector.warmth(server, gate.now) < 1.0
+                add["sent.cold"] += gate.selector.slow_start_share(server, gate.now) < 1.0
                 add["sent.suspect"] += gate.selector.is_suspect(server, gate.now)
             self.since(decider, action.backend)
         elif isinstance(action, i.AddToCounter):
@@ -148,7 +148,7 @@
             "ready": len(fleet.ready),
             "suspects": sum(fleet.is_suspect(s, now) for s in fleet.ready),
             "barred": fleet.connect_failure_rate,
-            "cold": sum(fleet.warmth(s, now) < 1.0 for s in fleet.ready),
+            "cold": sum(fleet.slow_start_share(s, now) < 1.0 for s in fleet.ready),
             "silent": sum(s.silent for s in fleet.ready),
             "strain": gate.capacity.strain,
             "links": ingress.pool.open_connections,
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -171,7 +171,7 @@
     assert fleet.ready[: fleet.candidate_count][: len(stay)] == stay  # those left are kept, others only join
     d.feed(i.BackendList("full", [*entries(range(20)), *entries(range(100, 140), started=d.now)]))
     chosen = fleet.ready[: fleet.candidate_count]
-    assert sum(fleet.warmth(server, d.now) for server in chosen) >= 20.0 and len(chosen) > 30
+    assert sum(fleet.slow_start_share(server, d.now) for server in chosen) >= 20.0 and len(chosen) > 30
     for server in fleet.ready[:10]:
         server.silent = True
     fleet.update_candidate_count(d.now)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -465,7 +465,7 @@
         old.feed(i.BackendList("delta", [i.BackendEntry("s1", started=old.now)]))
         old.now = new.now = old.now + 1.0
         import_state(new.gate, export_state(old.gate), new.now)
-        warmth = [d.gate.selector.warmth(d.gate.selector.backends["s1"], d.now) for d in (old, new)]
+        warmth = [d.gate.selector.slow_start_share(d.gate.selector.backends["s1"], d.now) for d in (old, new)]
         self.assertEqual(warmth[0], warmth[1])
         self.assertLess(warmth[1], 0.5)
 
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -41,7 +41,7 @@
 def looks() -> Iterator[list[Backend]]:
     """The servers whose state is read meanwhile, one entry a look."""
     seen: list[Backend] = []
-    oldest, slowness, warmth = Backend.oldest_attempt, Backend.slowness, BackendSelector.warmth
+    oldest, slowness, warmth = Backend.oldest_attempt, Backend.slowness, BackendSelector.slow_start_share
 
     def seen_oldest(server: Backend, now: float) -> tuple[float, float]:
         seen.append(server)
@@ -58,7 +58,7 @@
     with (
         mock.patch.object(Backend, "oldest_attempt", seen_oldest),
         mock.patch.object(Backend, "slowness", seen_slowness),
-        mock.patch.object(BackendSelector, "warmth", seen_warmth),
+        mock.patch.object(BackendSelector, "slow_start_share", seen_warmth),
     ):
         yield seen
 
