--- a/gorsefork/decisions/rules.py
+++ b/gorsefork/decisions/rules.py
@@ -380,8 +380,10 @@
 
         Otherwise, of hundreds of ingresses with one request a second each, nearly all would pass however many
         are open. The drawback is that the first request after a jam waits one period."""
-        self.pass_probability = min(1.0, self.allowance / max(1, self.arrived_in_period))
-        self.arrived_in_period = 0
+        self.pass_probability, self.arrived_in_period = (
+            min(1.0, self.allowance / max(1, self.arrived_in_period)),
+            0,
+        )
 
 
 class CapacityEstimator:
@@ -510,8 +512,10 @@
         """Derives the units left and this ingress's share of the traffic from the total of a count span."""
         amount, self.read_at = max(0.0, self.current_call[1]), now
         others, self.seen = max(0.0, total - self.seen - amount), total
-        self.own_recent_units = 0.9 * self.own_recent_units + amount
-        self.others_recent_units = 0.9 * self.others_recent_units + others
+        self.own_recent_units, self.others_recent_units = (
+            0.9 * self.own_recent_units + amount,
+            0.9 * self.others_recent_units + others,
+        )
         if self.share_holds_a_unit() or self.epoch != self.current_call[0]:
             # The second condition: the call began before a change of plan.
             self.level -= others
@@ -609,9 +613,11 @@
         if not pending.owner_serial:  # a serial that no other life of this ingress has used
             self.serial += 1
             pending.owner_serial = int(1000.0 * self.started_at + self.serial) % 2**32
-        pending.held = True
-        pending.owner_requests = pending.owner_requests + 1
-        self.waiting_for_owner[pending.owner_serial] = pending
+        pending.held, pending.owner_requests, self.waiting_for_owner[pending.owner_serial] = (
+            True,
+            pending.owner_requests + 1,
+            pending,
+        )
         self.send_to_peer(
             pending.account.owner, QUOTA_REQUEST, pending.account, pending.request.units, pending.owner_serial
         )
@@ -1116,8 +1122,10 @@
             self.selector.last_answered_send_at if backend.silent else backend.last_answered_send_at
         )
         if attempt.counts_as_open and answered_send_at > attempt.sent_at + 2.0 * self.overdue_after(pending):
-            attempt.counts_as_open = False
-            pending.priority_level.open_attempts = pending.priority_level.open_attempts - 1
+            attempt.counts_as_open, pending.priority_level.open_attempts = (
+                False,
+                pending.priority_level.open_attempts - 1,
+            )
             backend.open_attempts.pop((pending.id, number), None)
         return not attempt.counts_as_open
 
