--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -1,4 +1,4 @@
-"""The adapter: every event and action of the wire, and plain words about what is malformed."""
+"""Tests of the simulator host: parsing of events, writing of actions, and errors for malformed lines."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import pytest
 
 from gorsefork.decisions import interface as i
-from gorsefork.simhost import Fields, Host, WireError, read_row, serve, write_action
+from gorsefork.simhost import EngineHost, LineFields, WireError, read_backend_entry, serve, write_action
 
 SETTINGS = {
     "balancers": 1,
@@ -20,15 +20,15 @@
     "unknown": {"kept": "out"},
 }
 ATTACH = f"ATTACH salt=5 settings={json.dumps(SETTINGS)}"
-LIST = [
+BACKEND_LIST = [
     "ANNOUNCE scope=1 index=1 rowsIn=1",
     "ROW health=1 machine=0 cell=0 worker=h:1 campus=0 capacityHint=1",
 ]
-START = ["ROUND now=5000000000", "AT who=3", ATTACH, *LIST]
+ATTACHED_INSTANCE = ["ROUND now=5000000000", "AT who=3", ATTACH, *BACKEND_LIST]
 
 
-def parse(line: str) -> i.Event:
-    return Host().event(Fields(line), iter(()))
+def parse_event(line: str) -> i.Event:
+    return EngineHost().read_event(LineFields(line), iter(()))
 
 
 @pytest.mark.parametrize(
@@ -55,7 +55,7 @@
     ],
 )
 def test_events_are_read(line: str, event: i.Event) -> None:
-    assert parse(line) == event
+    assert parse_event(line) == event
 
 
 @pytest.mark.parametrize(
@@ -76,7 +76,7 @@
         (i.SendToPeer(2, b""), "SAY peer=2 payload=-"),
         (i.WatchBackends(True), "WATCH want=1"),
         (i.FetchBackendList(), "LIST_ALL"),
-        (i.WriteLog("two servers known"), "WRITE_LOG msg=two servers known"),
+        (i.WriteLog("two backends known"), "WRITE_LOG msg=two backends known"),
     ],
 )
 def test_actions_are_written(action: i.Action, line: str) -> None:
@@ -84,57 +84,59 @@
 
 
 def test_rows_are_read() -> None:
-    row = Fields("ROW health=0 onlineSince=6100000000 machine=1 cell=2 worker=h:1 campus=1 capacityHint=1.5")
-    assert read_row(row) == i.BackendEntry("h:1", "draining", 6.1, 1, 1, 2, 1.5)
+    fields = LineFields(
+        "ROW health=0 onlineSince=6100000000 machine=1 cell=2 worker=h:1 campus=1 capacityHint=1.5"
+    )
+    assert read_backend_entry(fields) == i.BackendEntry("h:1", "draining", 6.1, 1, 1, 2, 1.5)
 
 
 def test_a_request_goes_through() -> None:
-    host = Host()
-    list(host.batch(START))
+    host = EngineHost()
+    list(host.process_batch(ATTACHED_INSTANCE))
     request = "REQ rid=a category=0 terms=0 userKey=c grace=3000000000"
-    reply = list(host.batch(["ROUND now=5001000000", "AT who=3", request]))
+    reply = list(host.process_batch(["ROUND now=5001000000", "AT who=3", request]))
     assert reply[0] == "ON_BEHALF who=3"
     assert sum(line.startswith("ATTEMPT rid=a worker=h:1") for line in reply) == 1
-    assert list(host.batch(["ROUND now=5002000000", "AT who=3", "STOP"])) == []
+    assert list(host.process_batch(["ROUND now=5002000000", "AT who=3", "STOP"])) == []
     assert host.instances == {}
 
 
 @pytest.mark.parametrize(
-    ("lines", "words"),
+    ("lines", "message"),
     [
         (["NOISE"], "a ROUND was expected"),
-        ([*START[:2], "REQ"], "rid is missing"),
-        ([*START, "REQ rid=a userKey=c grace=soon"], "grace is not a whole number"),
-        ([*START, "WHAT x=1"], "unknown message"),
-        ([*START, "WHISPER neighbour=1 payload=zz"], "payload is not hex"),
-        ([*START, "COUNTED slotName=s rc=Maybe"], "rc has no meaning"),
-        ([*START[:2], "ATTACH salt=1 settings={"], "settings cannot be read"),
-        ([*START[:2], ATTACH.replace('"balancers": 1', '"balancers": 0')], "gatekeepers"),
-        ([*START, "ANNOUNCE scope=2 index=1 rowsIn=2"], "rowsIn"),
+        ([*ATTACHED_INSTANCE[:2], "REQ"], "rid is missing"),
+        ([*ATTACHED_INSTANCE, "REQ rid=a userKey=c grace=soon"], "grace is not a whole number"),
+        ([*ATTACHED_INSTANCE, "WHAT x=1"], "unknown message"),
+        ([*ATTACHED_INSTANCE, "WHISPER neighbour=1 payload=zz"], "payload is not hex"),
+        ([*ATTACHED_INSTANCE, "COUNTED slotName=s rc=Maybe"], "rc has no meaning"),
+        ([*ATTACHED_INSTANCE[:2], "ATTACH salt=1 settings={"], "settings cannot be read"),
+        ([*ATTACHED_INSTANCE[:2], ATTACH.replace('"balancers": 1', '"balancers": 0')], "gatekeepers"),
+        ([*ATTACHED_INSTANCE, "ANNOUNCE scope=2 index=1 rowsIn=2"], "rowsIn"),
     ],
 )
-def test_faults_are_named(lines: list[str], words: str) -> None:
-    with pytest.raises(WireError, match=words):
-        list(Host().batch(lines))
+def test_faults_are_named(lines: list[str], message: str) -> None:
+    with pytest.raises(WireError, match=message):
+        list(EngineHost().process_batch(lines))
 
 
 def test_a_fault_ends_with_die_and_a_plain_message() -> None:
-    sink, errors = io.StringIO(), io.StringIO()
-    source = io.StringIO("\n".join([*START, "WHAT x=1", "GO", ""]))
-    assert serve(source, sink, errors) == 1
-    assert "DIE msg=unknown message" in sink.getvalue() and sink.getvalue().endswith("OK\n")
-    assert "WHAT" in errors.getvalue() and "Traceback" not in errors.getvalue()
+    output_stream, error_stream = io.StringIO(), io.StringIO()
+    input_stream = io.StringIO("\n".join([*ATTACHED_INSTANCE, "WHAT x=1", "GO", ""]))
+    assert serve(input_stream, output_stream, error_stream) == 1
+    assert "DIE msg=unknown message" in output_stream.getvalue() and output_stream.getvalue().endswith("OK\n")
+    assert "WHAT" in error_stream.getvalue() and "Traceback" not in error_stream.getvalue()
 
 
 def test_an_empty_batch_over_the_pipe() -> None:
     text = "ROUND now=1\nGO\n"
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "gorsefork.simhost"], input=text, capture_output=True, text=True, check=True
     )
-    assert done.stdout == "OK\n"
+    assert completed.stdout == "OK\n"
 
 
 def test_the_readme_example_runs() -> None:
-    with open("README.md", encoding="utf-8") as page:
-        example = page.read().split("```python\n")[1].split("```")[0]
+    with open("README.md", encoding="utf-8") as readme:
+        example = readme.read().split("```python\n")[1].split("```")[0]
     exec(compile(example, "README.md", "exec"), {})
