--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -26,7 +26,7 @@
 
     def __init__(self, own_index: int, ingress_count: int = INGRESS_COUNT) -> None:
         registry = Registry(lambda update: None, lambda backend: None)
-        registry.apply(RegistryUpdate("cached", 1, (RegisteredBackend("backend", "127.0.0.1:1", "ready"),)))
+        registry.apply(RegistryUpdate("cached", 1, (RegisteredBackend("box", "127.0.0.1:1", "ready"),)))
         super().__init__("", registry, Clock(), 1, random.Random(own_index), ingress_count)
         self.call_times: list[float] = []
 
