--- a/benchmarks/capacity/measurements/fleet_view.py
+++ b/benchmarks/capacity/measurements/fleet_view.py
@@ -7,7 +7,7 @@
 from benchmarks.capacity.measurements.stopwatch import UNIX, Stopwatch, allocated
 from benchmarks.capacity.measurements.virtual_fleet import rested, seconds_until_called_dead
 from benchmarks.capacity.results import Measured, Size
-from gorsefork.fleet.facts import Contact, Fact, State, pack_address
+from gorsefork.fleet.facts import Card, Fact, State, pack_address
 from gorsefork.fleet.membership import Membership, Timings
 from gorsefork.fleet.messages import Codec
 
@@ -18,12 +18,12 @@
 
 def view_of(members: int) -> object:
     """One ingress's core that knows so many, each fact its own copy, as if it had come over the wire."""
-    own = Contact(pack_address("10.0.0.1:7000"), b"", "z0")
+    own = Card(pack_address("10.0.0.1:7000"), b"", "z0")
     core = Membership("n0", UNIX, own, Codec("site", b"a key of sixteen"), Timings(), random.Random(1), 0)
     for number in range(1, members):
         dial = pack_address(f"10.{number // 62_500}.{number // 250 % 250}.{number % 250 + 1}:7000")
         core.view.take(
-            Fact(f"ingress-{number}", UNIX + number, 0, State.ALIVE, Contact(dial, dial, "z1")), 0, "wire"
+            Fact(f"ingress-{number}", UNIX + number, 0, State.ALIVE, Card(dial, dial, "z1")), 0, "wire"
         )
     core.news.pieces.clear()
     core.events.clear()
--- a/gorsefork/fleet/facts.py
+++ b/gorsefork/fleet/facts.py
@@ -42,8 +42,11 @@
 ShownState = Literal["joining", "alive", "suspect", "unreachable", "left", "ended"]
 
 
-class Contact(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """Where a life is found: datagrams, its control listener (maybe none), and its zone."""
+class Card(msgspec.Struct, frozen=True, array_like=True, order=True):
+    """Where a life is found: datagrams, its control listener (maybe none), and its zone.
+
+    The digest that peers compare contains the repr of this class: its name and those of its fields must stay.
+    """
 
     dial: Dial
     control: Annotated[bytes, Meta(max_length=18)] = b""
@@ -58,7 +61,7 @@
     life: LifeNumber
     incarnation: Incarnation
     state: Annotated[int, Meta(ge=0, le=4)]
-    card: Contact
+    card: Card
     accuser: Annotated[str, Meta(max_length=MAX_NAME_LENGTH)] = ""
 
     @property
@@ -66,7 +69,7 @@
         return self.state >= State.LEFT
 
     @property
-    def rank(self) -> tuple[int, bool, int, int, Contact]:
+    def rank(self) -> tuple[int, bool, int, int, Card]:
         """What decides between two facts about one name. Of a life that is over the incarnation says
         nothing."""
         return self.life, self.terminal, 0 if self.terminal else self.incarnation, self.state, self.card
--- a/gorsefork/fleet/membership.py
+++ b/gorsefork/fleet/membership.py
@@ -16,7 +16,7 @@
 
 from gorsefork.fleet.anti_entropy import AntiEntropy
 from gorsefork.fleet.dissemination import Dissemination
-from gorsefork.fleet.facts import Contact, Fact, State, with_state
+from gorsefork.fleet.facts import Card, Fact, State, with_state
 from gorsefork.fleet.local_node import HERE, Counts, LocalNode, MemberEvent, OutgoingDatagram
 from gorsefork.fleet.merging import Merger
 from gorsefork.fleet.messages import Codec, DatagramRefused, Message
@@ -45,7 +45,7 @@
         self,
         name: str,
         life: int,
-        card: Contact,
+        card: Card,
         codec: Codec,
         pace: Timings,
         rng: random.Random,
--- a/gorsefork/fleet/own_life.py
+++ b/gorsefork/fleet/own_life.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from gorsefork.fleet.dissemination import Dissemination
-from gorsefork.fleet.facts import MOST_LIFE, Contact, Fact, MemberValue, State, with_state
+from gorsefork.fleet.facts import MOST_LIFE, Card, Fact, MemberValue, State, with_state
 from gorsefork.fleet.local_node import HERE, LocalNode
 from gorsefork.fleet.merging import Merger
 
@@ -23,7 +23,7 @@
         self.heard_any = False  # some other has answered this process
         self.goodbyes: set[str] = set()  # members that confirmed the goodbye
 
-    def begin(self, life: int, state: State, card: Contact) -> None:
+    def begin(self, life: int, state: State, card: Card) -> None:
         """Go on as this life, with the same notes."""
         name = self.node.name
         self.merger.take(Fact(name, life, 0, state, card), HERE)
--- a/gorsefork/lab/scale/hollow.py
+++ b/gorsefork/lab/scale/hollow.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any, Protocol, cast
 
-from gorsefork.fleet.facts import Contact, Fact, State, pack_address
+from gorsefork.fleet.facts import Card, Fact, State, pack_address
 from gorsefork.lab.scale.experiment import Configuration
 from gorsefork.lab.scale.messages import Arrival, Begin, Place, Standing
 from gorsefork.lab.scale.traffic import CountedClient, CountedSocket, Network, Owner, Traffic, owner
@@ -222,9 +222,7 @@
 def fact_of(place: Place) -> Fact:
     """What the fleet knows of an ingress that is alive."""
     control = dial_of(place.control) if place.control else b""
-    return Fact(
-        place.name, place.life, 0, State.ALIVE, Contact(dial_of(place.datagrams), control, place.zone)
-    )
+    return Fact(place.name, place.life, 0, State.ALIVE, Card(dial_of(place.datagrams), control, place.zone))
 
 
 def dial_of(number: int) -> bytes:
--- a/gorsefork/life/fleet.py
+++ b/gorsefork/life/fleet.py
@@ -10,7 +10,7 @@
 import msgspec
 import trio
 
-from gorsefork.fleet.facts import MAX_NAME_LENGTH, Contact, pack_address
+from gorsefork.fleet.facts import MAX_NAME_LENGTH, Card, pack_address
 from gorsefork.fleet.membership import SECOND, Membership, Timings
 from gorsefork.fleet.messages import Codec
 from gorsefork.life.operator import Fleet, InvalidOperatorFile, read_secret
@@ -89,7 +89,7 @@
     dial = given.advertise if given.ported() else advertised_address(socket_address(sock), host)
     if control:
         control = control_advertised or advertised_address(control, host)
-    card = Contact(pack_address(dial), pack_address(control) if control else b"", given.zone)
+    card = Card(pack_address(dial), pack_address(control) if control else b"", given.zone)
     core = Membership(
         name,
         max(clock.unix_us(), kept.life + 1),
--- a/tests/fleet_world.py
+++ b/tests/fleet_world.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from gorsefork.fleet.facts import Contact, State, pack_address
+from gorsefork.fleet.facts import Card, State, pack_address
 from gorsefork.fleet.membership import SECOND, MemberEvent, Membership, Timings
 from gorsefork.fleet.messages import Codec
 
@@ -91,7 +91,7 @@
             place.core = Membership(
                 called or name,
                 UNIX + now,
-                Contact(place.dial, b"", f"z{int(name[1:]) % 3}"),
+                Card(place.dial, b"", f"z{int(name[1:]) % 3}"),
                 codec or self.codec,
                 self.pace,
                 random.Random(self.rng.random()),
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -17,7 +17,7 @@
 from gorsefork.fleet.bounds import Tempo
 from gorsefork.fleet.facts import (
     MOST_INCARNATION,
-    Contact,
+    Card,
     Fact,
     MemberValue,
     State,
@@ -61,7 +61,7 @@
 
 # Facts.
 
-CARDS = st.sampled_from([Contact(pack_address("10.0.0.1:1")), Contact(pack_address("10.0.0.1:2"), b"", "a")])
+CARDS = st.sampled_from([Card(pack_address("10.0.0.1:1")), Card(pack_address("10.0.0.1:2"), b"", "a")])
 FACTS = st.builds(
     Fact,
     st.just("n1"),
@@ -93,7 +93,7 @@
 
 
 def test_the_digest_is_that_of_what_is_known_whatever_the_way_there() -> None:
-    one, other, card = View(), View(), Contact(pack_address("10.0.0.1:1"))
+    one, other, card = View(), View(), Card(pack_address("10.0.0.1:1"))
     facts = [Fact(f"n{n}", 5, n % 3, State(n % 3), card) for n in range(40)]
     for fact in facts:
         one.take(fact, 0, "a")
@@ -108,6 +108,15 @@
     assert one.digest() == other.digest()  # what is over is in no digest
 
 
+def test_the_marks_of_facts_and_values_are_those_of_earlier_builds() -> None:
+    """Guards against a rename that changes the digest: builds that compute it differently never settle."""
+    card = Card(pack_address("127.0.0.1:7946"), pack_address("127.0.0.1:8090"), "a")
+    fact = Fact("n1", 7, 2, State.ALIVE, card)
+    value = MemberValue("n1", 7, "kind", "key", 3, b"value")
+    assert fact.mark().hex() == "839f438720da458f"
+    assert value.mark().hex() == "b1cfa06d4691fb46"
+
+
 @pytest.mark.parametrize("text", ["10.0.0.1:80", "[2001:db8::1]:65535"])
 def test_addresses_are_packed_and_shown(text: str) -> None:
     assert format_address(pack_address(text)) == text and unpack_address(pack_address(text))[1] == int(
@@ -516,7 +525,7 @@
     world = World(2, 1)
     world.start("n0")
     core = world.core("n0")
-    card = Contact(pack_address("10.7.0.1:1"))
+    card = Card(pack_address("10.7.0.1:1"))
     for n in range(2 * MOST_MEMBERS):
         lied(world, Fact(f"x{n}", UNIX + n, 0, State.ALIVE if n % 2 else State.LEFT, card))
     assert len(core.view) <= MOST_MEMBERS and len(core.news) <= MOST_WAITING and core.view.dropped > 0
@@ -606,7 +615,7 @@
 
 def test_news_gives_way_at_its_bound_and_goes_so_often() -> None:
     news: Spread[Fact] = Spread()
-    card = Contact(pack_address("10.0.0.1:1"))
+    card = Card(pack_address("10.0.0.1:1"))
     for n in range(MOST_WAITING + 10):
         news.add(f"n{n}", Fact(f"n{n}", 1, 0, State.ALIVE, card))
     assert len(news) == MOST_WAITING
